--- a/src/dsp_shard.c
+++ b/src/dsp_shard.c
@@ -200,7 +200,7 @@
 		out[i].in_flight = shard->servers[i]->in_flight;
 		out[i].allowed = MIN(allowed, slots);
 		out[i].leaving = dsp_server_leaving(shard, i);
-		out[i].last = hlt_kept_for_floor(shard->hlt, i);
+		out[i].last_resort = hlt_kept_for_floor(shard->hlt, i);
 	}
 }
 
@@ -213,7 +213,7 @@
 		return load;
 	dsp_shard_slots(shard, true, now_us, slots);
 	for (uint32_t i = 0; i < shard->count; i++) {
-		if (slt_room(&slots[i]))
+		if (slt_has_capacity(&slots[i]))
 			load.free_slots +=
 				slots[i].allowed - slots[i].in_flight;
 	}
--- a/src/ejc.c
+++ b/src/ejc.c
@@ -27,7 +27,7 @@
 }
 
 /* Keeps the services of the shards that this node dispatches, no others. */
-static void choose_services(struct ejc *ejc)
+static void update_services(struct ejc *ejc)
 {
 	GHashTable *services;
 	struct shd_map *map;
@@ -66,21 +66,21 @@
 	case MSG_CONFIG:
 		cfg_unref(ejc->cfg);
 		ejc->cfg = cfg_ref(m->config.cfg);
-		choose_services(ejc);
+		update_services(ejc);
 		break;
 	case MSG_VIEW:
 		mem_view_unref(ejc->view);
 		ejc->view = mem_view_ref(m->view.view);
-		choose_services(ejc);
+		update_services(ejc);
 		break;
 	case MSG_EJECT_ASK:
 		service = g_hash_table_lookup(ejc->services,
 					      m->eject_ask.service);
 		if (service)
-			ejc_service_ask(service, &m->eject_ask, now_us);
+			ejc_service_request(service, &m->eject_ask, now_us);
 		break;
 	case MSG_PROBE_TOLD:
-		ejc_path_told(ejc, &m->probe_told, now_us);
+		ejc_path_receive(ejc, &m->probe_told, now_us);
 		break;
 	default:
 		break;
--- a/src/ejc_impl.h
+++ b/src/ejc_impl.h
@@ -9,27 +9,27 @@
 #include "node.h"
 #include "shd.h"
 
-#define EJC_WITNESSES 2			 /* nodes asked about a path */
-#define EJC_PATH_WAIT_US 2500000	 /* for their answers */
-#define EJC_PATH_KEEP_US 30000000	 /* an answer holds so long */
-#define EJC_REPEAT_US (60 * FS_US_PER_S) /* same refusal: one record */
+#define EJC_WITNESSES 2				/* nodes asked about a path */
+#define EJC_PATH_TIMEOUT_US 2500000		/* for their answers */
+#define EJC_PATH_CACHE_US 30000000		/* an answer holds so long */
+#define EJC_REFUSAL_DEDUP_US (60 * FS_US_PER_S) /* same refusal: one record */
 
 /** Whether other failure domains reach a server. */
 struct ejc_path {
 	uint64_t serial; /* of the question */
-	int64_t asked_us;
-	bool open;	   /* still waiting for answers */
+	int64_t queried_us;
+	bool pending;	   /* still waiting for answers */
 	int64_t witnesses; /* nodes asked */
-	int64_t told;	   /* of these, answered */
+	int64_t answered;  /* of these, answered */
 	int64_t reached;   /* of these, reached it */
 };
 
 /** What is kept of one server. */
 struct ejc_server {
 	struct ejc_path path;
-	enum aud_rule judged;  /* rule of the wish that waits for the path */
-	enum aud_rule refused; /* rule of the last refusal recorded */
-	int64_t refused_us;
+	enum aud_rule trigger_rule; /* rule of the wish that waits for the path */
+	enum aud_rule last_refusal; /* rule of the last refusal recorded */
+	int64_t last_refusal_us;
 };
 
 /** The record of one service in this node's region. */
@@ -39,8 +39,8 @@
 	char *key; /* in the platform */
 	struct flr_sync *sync;
 	GHashTable *servers; /* name to struct ejc_server */
-	int64_t told_us;     /* confirmation that dispatch was told of last */
-	bool told;	     /* dispatch has a record that may be in force */
+	int64_t published_us; /* confirmation that dispatch was answered of last */
+	bool published;	      /* dispatch has a record that may be in force */
 };
 
 struct ejc {
@@ -59,29 +59,30 @@
 void ejc_service_tick(struct ejc_service *service, int64_t now_us);
 
 /** Takes a wish of the dispatcher. */
-void ejc_service_ask(struct ejc_service *service,
-		     const struct msg_eject_ask *ask, int64_t now_us);
+void ejc_service_request(struct ejc_service *service,
+			 const struct msg_eject_ask *request, int64_t now_us);
 
 /** Fills in the scope of a service. @return false if it left the text */
 bool ejc_scope(const struct ejc_service *service, struct flr_scope *out);
 
 /** Returns what is kept of a server; made when missing. */
-struct ejc_server *ejc_server_of(struct ejc_service *service, const char *name);
+struct ejc_server *ejc_server_get(struct ejc_service *service,
+				  const char *name);
 
 /** Asks nodes of other failure domains whether they reach a server. */
-void ejc_path_ask(struct ejc_service *service, const char *server,
-		  int64_t now_us);
+void ejc_path_query(struct ejc_service *service, const char *server,
+		    int64_t now_us);
 
 /** Takes an answer. */
-void ejc_path_told(struct ejc *ejc, const struct msg_probe_told *told,
-		   int64_t now_us);
+void ejc_path_receive(struct ejc *ejc, const struct msg_probe_told *result,
+		      int64_t now_us);
 
 /** Settles questions whose answers are all in, or late. */
 void ejc_path_tick(struct ejc_service *service, int64_t now_us);
 
 /** Whether the answers speak against an ejection: a witness reaches the
  *  server, or none of those asked has answered. Shared with the audit. */
-bool ejc_rule_path(int64_t witnesses, int64_t told, int64_t reached);
+bool ejc_rule_path(int64_t witnesses, int64_t answered, int64_t reached);
 
 /** Records a settled wish. */
 void ejc_record_decision(struct ejc_service *service,
--- a/src/ejc_path.c
+++ b/src/ejc_path.c
@@ -2,9 +2,9 @@
 
 #include "ejc_impl.h"
 
-bool ejc_rule_path(int64_t witnesses, int64_t told, int64_t reached)
+bool ejc_rule_path(int64_t witnesses, int64_t answered, int64_t reached)
 {
-	return reached > 0 || (witnesses > 0 && told == 0);
+	return reached > 0 || (witnesses > 0 && answered == 0);
 }
 
 /* Whether a member can be a witness: alive, in a failure domain that is
@@ -18,8 +18,8 @@
 	return !strict || strcmp(member->domain, domain) != 0;
 }
 
-static void ask_member(struct ejc *ejc, const struct mem_member *member,
-		       const char *server, uint64_t serial)
+static void query_member(struct ejc *ejc, const struct mem_member *member,
+			 const char *server, uint64_t serial)
 {
 	struct msg *m = msg_new(MSG_PROBE_ASK, member->id, MSG_TASK_PROBE);
 
@@ -30,8 +30,8 @@
 
 /* Asks members from a place that differs per question, each in a failure
  * domain of its own where there are enough. */
-static int64_t ask_witnesses(struct ejc *ejc, const char *server,
-			     uint64_t serial, int64_t asked, bool strict)
+static int64_t query_witnesses(struct ejc *ejc, const char *server,
+			       uint64_t serial, int64_t queried, bool strict)
 {
 	handle h = cfg_find_server(ejc->cfg, server);
 	const char *domain =
@@ -41,41 +41,41 @@
 	const struct mem_view *view = ejc->view;
 	const char *last = "";
 
-	for (uint32_t n = 0; n < view->count && asked < EJC_WITNESSES; n++) {
+	for (uint32_t n = 0; n < view->count && queried < EJC_WITNESSES; n++) {
 		uint32_t i = (uint32_t)((serial * 7 + n) % view->count);
 		const struct mem_member *member = &view->members[i];
 
 		if (!is_witness(ejc, member, domain, strict) ||
 		    (strict && !strcmp(member->domain, last)))
 			continue;
-		ask_member(ejc, member, server, serial);
+		query_member(ejc, member, server, serial);
 		last = member->domain;
-		asked++;
+		queried++;
 	}
-	return asked;
+	return queried;
 }
 
-void ejc_path_ask(struct ejc_service *service, const char *server,
-		  int64_t now_us)
+void ejc_path_query(struct ejc_service *service, const char *server,
+		    int64_t now_us)
 {
 	struct ejc *ejc = service->ejc;
-	struct ejc_path *path = &ejc_server_of(service, server)->path;
+	struct ejc_path *path = &ejc_server_get(service, server)->path;
 
 	if (!ejc->view)
 		return;
 	*path = (struct ejc_path){
 		.serial = ++ejc->serial,
-		.asked_us = now_us,
-		.open = true,
+		.queried_us = now_us,
+		.pending = true,
 	};
-	path->witnesses = ask_witnesses(ejc, server, path->serial, 0, true);
+	path->witnesses = query_witnesses(ejc, server, path->serial, 0, true);
 	if (!path->witnesses)
 		path->witnesses =
-			ask_witnesses(ejc, server, path->serial, 0, false);
+			query_witnesses(ejc, server, path->serial, 0, false);
 }
 
 static struct ejc_path *find_path(struct ejc *ejc,
-				  const struct msg_probe_told *told)
+				  const struct msg_probe_told *result)
 {
 	GHashTableIter iter;
 	struct ejc_service *service;
@@ -83,38 +83,39 @@
 	g_hash_table_iter_init(&iter, ejc->services);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&service)) {
 		struct ejc_server *server =
-			g_hash_table_lookup(service->servers, told->server);
+			g_hash_table_lookup(service->servers, result->server);
 
-		if (server && server->path.open &&
-		    server->path.serial == told->serial)
+		if (server && server->path.pending &&
+		    server->path.serial == result->serial)
 			return &server->path;
 	}
 	return NULL;
 }
 
-void ejc_path_told(struct ejc *ejc, const struct msg_probe_told *told,
-		   int64_t now_us)
+void ejc_path_receive(struct ejc *ejc, const struct msg_probe_told *result,
+		      int64_t now_us)
 {
-	struct ejc_path *path = find_path(ejc, told);
+	struct ejc_path *path = find_path(ejc, result);
 
 	(void)now_us;
-	if (!path || path->told >= path->witnesses)
+	if (!path || path->answered >= path->witnesses)
 		return;
-	path->told++;
-	path->reached += told->reachable;
+	path->answered++;
+	path->reached += result->reachable;
 }
 
-static void settle(struct ejc_service *service, const char *name,
-		   struct ejc_server *server, int64_t now_us)
+static void complete_query(struct ejc_service *service, const char *name,
+			   struct ejc_server *server, int64_t now_us)
 {
 	struct ejc_path *path = &server->path;
 
-	path->open = false;
-	if (ejc_rule_path(path->witnesses, path->told, path->reached)) {
+	path->pending = false;
+	if (ejc_rule_path(path->witnesses, path->answered, path->reached)) {
 		ejc_record_path(service, name, path, now_us);
 		return;
 	}
-	flr_sync_ask(service->sync, name, server->judged, false, now_us);
+	flr_sync_request(service->sync, name, server->trigger_rule, false,
+			 now_us);
 	path->serial = 0;
 }
 
@@ -129,9 +130,9 @@
 				      (void **)&server)) {
 		const struct ejc_path *path = &server->path;
 
-		if (path->open &&
-		    (path->told == path->witnesses || path->reached ||
-		     now_us - path->asked_us >= EJC_PATH_WAIT_US))
-			settle(service, name, server, now_us);
+		if (path->pending &&
+		    (path->answered == path->witnesses || path->reached ||
+		     now_us - path->queried_us >= EJC_PATH_TIMEOUT_US))
+			complete_query(service, name, server, now_us);
 	}
 }
--- a/src/ejc_record.c
+++ b/src/ejc_record.c
@@ -1,16 +1,16 @@
 #include "ejc_impl.h"
 
 /* Whether the same refusal was recorded for the server a short while ago. */
-static bool is_repeated(struct ejc_service *service, const char *name,
-			enum aud_rule rule, int64_t now_us)
+static bool is_duplicate(struct ejc_service *service, const char *name,
+			 enum aud_rule rule, int64_t now_us)
 {
-	struct ejc_server *server = ejc_server_of(service, name);
+	struct ejc_server *server = ejc_server_get(service, name);
 
-	if (server->refused == rule &&
-	    now_us - server->refused_us < EJC_REPEAT_US)
+	if (server->last_refusal == rule &&
+	    now_us - server->last_refusal_us < EJC_REFUSAL_DEDUP_US)
 		return true;
-	server->refused = rule;
-	server->refused_us = now_us;
+	server->last_refusal = rule;
+	server->last_refusal_us = now_us;
 	return false;
 }
 
@@ -31,12 +31,12 @@
 		return AUD_R_EJECT_FLOOR;
 	if (decision->err)
 		return AUD_R_EJECT_PLATFORM;
-	return decision->give_back ? AUD_R_RETURN : AUD_R_EJECT;
+	return decision->reinstate ? AUD_R_RETURN : AUD_R_EJECT;
 }
 
-static void add_numbers(const struct ejc_service *service,
-			const struct flr_decision *decision,
-			struct aud_record *rec)
+static void add_inputs(const struct ejc_service *service,
+		       const struct flr_decision *decision,
+		       struct aud_record *rec)
 {
 	const struct ejc_server *server =
 		g_hash_table_lookup(service->servers, decision->server);
@@ -52,9 +52,9 @@
 	aud_add(rec, "ejections", decision->ejections);
 	if (rec->rule != AUD_R_EJECT)
 		return;
-	aud_add(rec, "judged", decision->judged);
+	aud_add(rec, "judged", decision->trigger_rule);
 	aud_add(rec, "witnesses", server ? server->path.witnesses : 0);
-	aud_add(rec, "told", server ? server->path.told : 0);
+	aud_add(rec, "told", server ? server->path.answered : 0);
 	aud_add(rec, "reached", server ? server->path.reached : 0);
 }
 
@@ -65,22 +65,22 @@
 	struct aud_record rec;
 
 	/* Another node was first, or the text has changed: no choice here. A
-	 * return that waits for the platform is not an ejection refused. */
+	 * return that waits for the platform is not an ejection last_refusal. */
 	if (decision->err == FS_E_CONFLICT || decision->err == FS_E_NOT_FOUND ||
-	    (decision->err && decision->give_back))
+	    (decision->err && decision->reinstate))
 		return;
 	if (decision->err &&
-	    is_repeated(service, decision->server, rule, now_us))
+	    is_duplicate(service, decision->server, rule, now_us))
 		return;
 	if (!decision->err)
-		ejc_server_of(service, decision->server)->refused =
+		ejc_server_get(service, decision->server)->last_refusal =
 			AUD_RULE_COUNT;
 	begin_record(service, decision->server, rule,
 		     rule == AUD_R_EJECT  ? "ejected" :
 		     rule == AUD_R_RETURN ? "returned" :
 					    "kept",
 		     now_us, &rec);
-	add_numbers(service, decision, &rec);
+	add_inputs(service, decision, &rec);
 	aud_emit(service->ejc->node->aud, &rec);
 }
 
@@ -89,11 +89,11 @@
 {
 	struct aud_record rec;
 
-	if (is_repeated(service, server, AUD_R_EJECT_PATH, now_us))
+	if (is_duplicate(service, server, AUD_R_EJECT_PATH, now_us))
 		return;
 	begin_record(service, server, AUD_R_EJECT_PATH, "kept", now_us, &rec);
 	aud_add(&rec, "witnesses", path->witnesses);
-	aud_add(&rec, "told", path->told);
+	aud_add(&rec, "told", path->answered);
 	aud_add(&rec, "reached", path->reached);
 	aud_emit(service->ejc->node->aud, &rec);
 }
--- a/src/ejc_service.c
+++ b/src/ejc_service.c
@@ -47,20 +47,21 @@
 	return out->service != FS_NONE;
 }
 
-struct ejc_server *ejc_server_of(struct ejc_service *service, const char *name)
+struct ejc_server *ejc_server_get(struct ejc_service *service, const char *name)
 {
 	struct ejc_server *server = g_hash_table_lookup(service->servers, name);
 
 	if (server)
 		return server;
 	server = g_new0(struct ejc_server, 1);
-	server->refused = AUD_RULE_COUNT;
+	server->last_refusal = AUD_RULE_COUNT;
 	g_hash_table_insert(service->servers, g_strdup(name), server);
 	return server;
 }
 
-static void tell(struct ejc_service *service, const struct flr_record *record,
-		 int64_t confirmed_us)
+static void publish_record(struct ejc_service *service,
+			   const struct flr_record *record,
+			   int64_t confirmed_us)
 {
 	struct node *node = service->ejc->node;
 	struct msg *m = msg_new(MSG_RECORD, node->self, MSG_TASK_DISPATCH);
@@ -71,22 +72,22 @@
 	bus_send(node->bus, m);
 }
 
-static void tell_news(struct ejc_service *service, int64_t now_us)
+static void publish_changes(struct ejc_service *service, int64_t now_us)
 {
 	const struct flr_record *record =
 		flr_sync_record(service->sync, now_us);
 	int64_t confirmed_us = flr_sync_confirmed(service->sync);
 
-	if (!record && service->told) {
-		tell(service, NULL, confirmed_us);
-		service->told = false;
+	if (!record && service->published) {
+		publish_record(service, NULL, confirmed_us);
+		service->published = false;
 		fs_log_eventf("ejc", G_LOG_LEVEL_WARNING, "record_lapsed",
 			      "\"service\":\"%s\"", service->name);
-	} else if (record &&
-		   (!service->told || confirmed_us != service->told_us)) {
-		tell(service, record, confirmed_us);
-		service->told = true;
-		service->told_us = confirmed_us;
+	} else if (record && (!service->published ||
+			      confirmed_us != service->published_us)) {
+		publish_record(service, record, confirmed_us);
+		service->published = true;
+		service->published_us = confirmed_us;
 	}
 }
 
@@ -98,12 +99,13 @@
 
 	if (!ejc_scope(service, &scope))
 		return;
-	flr_sync_read(service->sync, &scope, err, value ? value->revision : 0,
-		      value && value->data ? value->data : "", now_us);
-	tell_news(service, now_us);
+	flr_sync_read_done(service->sync, &scope, err,
+			   value ? value->revision : 0,
+			   value && value->data ? value->data : "", now_us);
+	publish_changes(service, now_us);
 }
 
-static void on_wrote(void *arg, int err, const struct plt_value *value)
+static void on_write(void *arg, int err, const struct plt_value *value)
 {
 	struct ejc_service *service = arg;
 	int64_t now_us = fs_now_us();
@@ -111,9 +113,9 @@
 
 	if (!ejc_scope(service, &scope))
 		return;
-	flr_sync_wrote(service->sync, &scope, err, value ? value->revision : 0,
-		       now_us);
-	tell_news(service, now_us);
+	flr_sync_write_done(service->sync, &scope, err,
+			    value ? value->revision : 0, now_us);
+	publish_changes(service, now_us);
 }
 
 void ejc_service_tick(struct ejc_service *service, int64_t now_us)
@@ -132,28 +134,28 @@
 		break;
 	case FLR_CALL_WRITE:
 		plt_put(platform, service->key, prev, value->str, value->len,
-			on_wrote, service);
+			on_write, service);
 		break;
 	default:
 		break;
 	}
-	tell_news(service, now_us);
+	publish_changes(service, now_us);
 }
 
-void ejc_service_ask(struct ejc_service *service,
-		     const struct msg_eject_ask *ask, int64_t now_us)
+void ejc_service_request(struct ejc_service *service,
+			 const struct msg_eject_ask *request, int64_t now_us)
 {
-	enum aud_rule judged = aud_rule_by_name(ask->rule);
-	struct ejc_server *server = ejc_server_of(service, ask->server);
+	enum aud_rule trigger_rule = aud_rule_by_name(request->rule);
+	struct ejc_server *server = ejc_server_get(service, request->server);
 
-	if (ask->give_back || judged != AUD_R_STEER_CONNECT) {
-		flr_sync_ask(service->sync, ask->server, judged, ask->give_back,
-			     now_us);
+	if (request->give_back || trigger_rule != AUD_R_STEER_CONNECT) {
+		flr_sync_request(service->sync, request->server, trigger_rule,
+				 request->give_back, now_us);
 		return;
 	}
-	server->judged = judged;
-	if (!server->path.open &&
+	server->trigger_rule = trigger_rule;
+	if (!server->path.pending &&
 	    (!server->path.serial ||
-	     now_us - server->path.asked_us >= EJC_PATH_KEEP_US))
-		ejc_path_ask(service, ask->server, now_us);
+	     now_us - server->path.queried_us >= EJC_PATH_CACHE_US))
+		ejc_path_query(service, request->server, now_us);
 }
--- a/src/flr_sync.c
+++ b/src/flr_sync.c
@@ -2,15 +2,15 @@
 
 #include <string.h>
 
-#define RETRY_US (1 * FS_US_PER_S)    /* between reads after an error */
-#define ASK_MAX_US (10 * FS_US_PER_S) /* a wish is refused after this */
+#define READ_RETRY_US (1 * FS_US_PER_S)	      /* between reads after an error */
+#define REQUEST_TIMEOUT_US (10 * FS_US_PER_S) /* a wish is refused after this */
 
 /** A wish that waits. */
-struct flr_ask {
+struct flr_request {
 	char server[FS_NAME_MAX];
-	enum aud_rule judged;
-	bool give_back;
-	int64_t asked_us;
+	enum aud_rule trigger_rule;
+	bool reinstate;
+	int64_t requested_us;
 };
 
 struct flr_sync {
@@ -27,8 +27,8 @@
 	int64_t retry_us;     /* no call before this */
 	enum flr_call in_flight;
 	bool read_due; /* before anything else is written */
-	struct flr_ask asks[FLR_ASKS_MAX];
-	uint32_t ask_count;
+	struct flr_request requests[FLR_REQUESTS_MAX];
+	uint32_t request_count;
 };
 
 struct flr_sync *flr_sync_new(const struct flr_times *times, const char *node,
@@ -55,72 +55,75 @@
 	g_free(sync);
 }
 
-void flr_sync_ask(struct flr_sync *sync, const char *server,
-		  enum aud_rule judged, bool give_back, int64_t now_us)
+void flr_sync_request(struct flr_sync *sync, const char *server,
+		      enum aud_rule trigger_rule, bool reinstate,
+		      int64_t now_us)
 {
-	struct flr_ask *ask = NULL;
+	struct flr_request *request = NULL;
 
-	for (uint32_t i = 0; i < sync->ask_count; i++) {
-		if (!strcmp(sync->asks[i].server, server))
-			ask = &sync->asks[i];
+	for (uint32_t i = 0; i < sync->request_count; i++) {
+		if (!strcmp(sync->requests[i].server, server))
+			request = &sync->requests[i];
 	}
-	if (ask && ask->give_back == give_back)
+	if (request && request->reinstate == reinstate)
 		return;
-	if (!ask) {
-		if (sync->ask_count == FLR_ASKS_MAX)
+	if (!request) {
+		if (sync->request_count == FLR_REQUESTS_MAX)
 			return;
-		ask = &sync->asks[sync->ask_count++];
+		request = &sync->requests[sync->request_count++];
 	}
-	g_strlcpy(ask->server, server, sizeof(ask->server));
-	ask->judged = judged;
-	ask->give_back = give_back;
-	ask->asked_us = now_us;
+	g_strlcpy(request->server, server, sizeof(request->server));
+	request->trigger_rule = trigger_rule;
+	request->reinstate = reinstate;
+	request->requested_us = now_us;
 }
 
 /* Tells the end of the wish at @p i and removes it. */
-static void settle(struct flr_sync *sync, uint32_t i,
-		   const struct flr_scope *scope,
-		   const struct flr_record *record, int err)
+static void complete_request(struct flr_sync *sync, uint32_t i,
+			     const struct flr_scope *scope,
+			     const struct flr_record *record, int err)
 {
-	struct flr_ask ask = sync->asks[i];
-	const struct flr_entry *entry = record ? flr_find(record, ask.server) :
-						 NULL;
+	struct flr_request request = sync->requests[i];
+	const struct flr_entry *entry =
+		record ? flr_find(record, request.server) : NULL;
 	struct flr_decision decision = {
-		.judged = ask.judged,
-		.give_back = ask.give_back,
+		.trigger_rule = request.trigger_rule,
+		.reinstate = request.reinstate,
 		.err = err,
 		.epoch = record ? record->epoch : 0,
 		.ejections = entry ? entry->ejections : 0,
 		.count = flr_count(scope),
-		.out = record ? flr_place(record, ask.server) : 0,
+		.out = record ? flr_position(record, request.server) : 0,
 		.floor = flr_floor(scope),
 	};
 
 	if (!err && entry)
 		decision.epoch = entry->epoch;
-	g_strlcpy(decision.server, ask.server, sizeof(decision.server));
-	sync->asks[i] = sync->asks[--sync->ask_count];
+	g_strlcpy(decision.server, request.server, sizeof(decision.server));
+	sync->requests[i] = sync->requests[--sync->request_count];
 	sync->decided(sync->arg, &decision);
 }
 
-/* Whether @p record has what a wish asks for, by a write of this node. */
-static bool ask_done(const struct flr_sync *sync, const struct flr_ask *ask,
-		     const struct flr_record *record)
+/* Whether @p record has what a wish requests for, by a write of this node. */
+static bool request_satisfied(const struct flr_sync *sync,
+			      const struct flr_request *request,
+			      const struct flr_record *record)
 {
-	const struct flr_entry *entry = flr_find(record, ask->server);
+	const struct flr_entry *entry = flr_find(record, request->server);
 
-	if (ask->give_back)
+	if (request->reinstate)
 		return !entry || entry->state != FLR_OUT;
 	return entry && entry->state == FLR_OUT &&
 	       !strcmp(entry->node, sync->node);
 }
 
 /* Settles what the record, now confirmed, has already. */
-static void settle_done(struct flr_sync *sync, const struct flr_scope *scope)
+static void complete_satisfied(struct flr_sync *sync,
+			       const struct flr_scope *scope)
 {
-	for (uint32_t i = sync->ask_count; i-- > 0;) {
-		if (ask_done(sync, &sync->asks[i], sync->record))
-			settle(sync, i, scope, sync->record, 0);
+	for (uint32_t i = sync->request_count; i-- > 0;) {
+		if (request_satisfied(sync, &sync->requests[i], sync->record))
+			complete_request(sync, i, scope, sync->record, 0);
 	}
 }
 
@@ -132,32 +135,35 @@
 	sync->revision = revision;
 	sync->confirmed_us = sync->started_us;
 	sync->read_due = false;
-	flr_watch_note(sync->watch, record, now_us);
+	flr_watch_observe(sync->watch, record, now_us);
 }
 
 /* Refuses wishes that the platform has kept waiting for too long. */
-static void refuse_old(struct flr_sync *sync, const struct flr_scope *scope,
-		       int64_t now_us)
+static void time_out_requests(struct flr_sync *sync,
+			      const struct flr_scope *scope, int64_t now_us)
 {
-	for (uint32_t i = sync->ask_count; i-- > 0;) {
-		if (now_us - sync->asks[i].asked_us >= ASK_MAX_US)
-			settle(sync, i, scope, sync->record, FS_E_UNAVAILABLE);
+	for (uint32_t i = sync->request_count; i-- > 0;) {
+		if (now_us - sync->requests[i].requested_us >=
+		    REQUEST_TIMEOUT_US)
+			complete_request(sync, i, scope, sync->record,
+					 FS_E_UNAVAILABLE);
 	}
 }
 
-static void apply_ask(struct flr_sync *sync, uint32_t i,
-		      const struct flr_scope *scope, struct flr_record *draft)
+static void apply_request(struct flr_sync *sync, uint32_t i,
+			  const struct flr_scope *scope,
+			  struct flr_record *draft)
 {
-	struct flr_ask *ask = &sync->asks[i];
+	struct flr_request *request = &sync->requests[i];
 	int err;
 
-	if (ask->give_back)
-		err = flr_return(draft, scope, ask->server);
+	if (request->reinstate)
+		err = flr_return(draft, scope, request->server);
 	else
-		err = flr_grant(draft, scope, ask->server, ask->judged,
-				sync->node);
+		err = flr_grant(draft, scope, request->server,
+				request->trigger_rule, sync->node);
 	if (err)
-		settle(sync, i, scope, draft, err);
+		complete_request(sync, i, scope, draft, err);
 }
 
 /* Drafts the record to write; NULL if nothing changes. */
@@ -170,8 +176,8 @@
 	flr_trim(draft, scope);
 	flr_expire(draft, scope, sync->watch, sync->times, now_us);
 	if (flr_watch_settled(sync->watch, sync->times, now_us)) {
-		for (uint32_t i = sync->ask_count; i-- > 0;)
-			apply_ask(sync, i, scope, draft);
+		for (uint32_t i = sync->request_count; i-- > 0;)
+			apply_request(sync, i, scope, draft);
 	}
 	if (draft->epoch != epoch)
 		return draft;
@@ -193,7 +199,7 @@
 {
 	if (sync->in_flight != FLR_CALL_NONE)
 		return FLR_CALL_NONE;
-	refuse_old(sync, scope, now_us);
+	time_out_requests(sync, scope, now_us);
 	if (now_us < sync->retry_us)
 		return FLR_CALL_NONE;
 	if (sync->read_due || now_us - sync->confirmed_us >= FS_RECORD_POLL_US)
@@ -206,9 +212,9 @@
 	return begin_call(sync, FLR_CALL_WRITE, now_us);
 }
 
-void flr_sync_read(struct flr_sync *sync, const struct flr_scope *scope,
-		   int err, uint64_t revision, const char *value,
-		   int64_t now_us)
+void flr_sync_read_done(struct flr_sync *sync, const struct flr_scope *scope,
+			int err, uint64_t revision, const char *value,
+			int64_t now_us)
 {
 	struct flr_record *record = NULL;
 
@@ -221,15 +227,15 @@
 	}
 	if (!record) {
 		sync->read_due = true;
-		sync->retry_us = now_us + RETRY_US;
+		sync->retry_us = now_us + READ_RETRY_US;
 		return;
 	}
 	confirm(sync, record, revision, now_us);
-	settle_done(sync, scope);
+	complete_satisfied(sync, scope);
 }
 
-void flr_sync_wrote(struct flr_sync *sync, const struct flr_scope *scope,
-		    int err, uint64_t revision, int64_t now_us)
+void flr_sync_write_done(struct flr_sync *sync, const struct flr_scope *scope,
+			 int err, uint64_t revision, int64_t now_us)
 {
 	struct flr_record *draft = sync->draft;
 
@@ -237,13 +243,13 @@
 	sync->draft = NULL;
 	if (!err) {
 		confirm(sync, draft, revision, now_us);
-		settle_done(sync, scope);
+		complete_satisfied(sync, scope);
 		return;
 	}
 	flr_record_free(draft);
 	sync->read_due = true;
 	if (err != FS_E_CONFLICT)
-		sync->retry_us = now_us + RETRY_US;
+		sync->retry_us = now_us + READ_RETRY_US;
 }
 
 const struct flr_record *flr_sync_record(const struct flr_sync *sync,
--- a/src/flr_sync.h
+++ b/src/flr_sync.h
@@ -12,7 +12,7 @@
 
 #include "flr.h"
 
-#define FLR_ASKS_MAX 32 /* wishes that wait for a write */
+#define FLR_REQUESTS_MAX 32 /* wishes that wait for a write */
 
 struct flr_sync;
 
@@ -26,8 +26,8 @@
 /** A wish that was settled, with the numbers for its audit record. */
 struct flr_decision {
 	char server[FS_NAME_MAX];
-	enum aud_rule judged; /* rule that judged the server sick */
-	bool give_back;
+	enum aud_rule trigger_rule; /* rule that trigger_rule the server sick */
+	bool reinstate;
 	int err; /* 0: done; FS_E_FLOOR; FS_E_UNAVAILABLE; FS_E_NOT_FOUND */
 	uint64_t epoch;
 	uint32_t ejections;
@@ -44,8 +44,9 @@
 void flr_sync_free(struct flr_sync *sync);
 
 /** Adds a wish; a wish for the same server is replaced. */
-void flr_sync_ask(struct flr_sync *sync, const char *server,
-		  enum aud_rule judged, bool give_back, int64_t now_us);
+void flr_sync_request(struct flr_sync *sync, const char *server,
+		      enum aud_rule trigger_rule, bool reinstate,
+		      int64_t now_us);
 
 /**
  * Begins the next call, if one is due.
@@ -57,13 +58,13 @@
 			    GString *value, uint64_t *prev);
 
 /** A read has ended. @param err  0, FS_E_NOT_FOUND, or another error */
-void flr_sync_read(struct flr_sync *sync, const struct flr_scope *scope,
-		   int err, uint64_t revision, const char *value,
-		   int64_t now_us);
+void flr_sync_read_done(struct flr_sync *sync, const struct flr_scope *scope,
+			int err, uint64_t revision, const char *value,
+			int64_t now_us);
 
 /** A write has ended. @param err  0, FS_E_CONFLICT, FS_E_AMBIGUOUS, ... */
-void flr_sync_wrote(struct flr_sync *sync, const struct flr_scope *scope,
-		    int err, uint64_t revision, int64_t now_us);
+void flr_sync_write_done(struct flr_sync *sync, const struct flr_scope *scope,
+			 int err, uint64_t revision, int64_t now_us);
 
 /** Returns the record if it is confirmed and has not lapsed, or NULL. */
 const struct flr_record *flr_sync_record(const struct flr_sync *sync,
--- a/src/prb.c
+++ b/src/prb.c
@@ -7,7 +7,7 @@
 #include "shd.h"
 
 #define TICK_US (100 * FS_US_PER_MS)
-#define ASKED_MAX 64 /* probes for other nodes at a time */
+#define REMOTE_PROBES_MAX 64 /* probes for other nodes at a time */
 
 /** A server that this node probes. */
 struct prb_target {
@@ -21,7 +21,7 @@
 };
 
 /** A probe for another node. */
-struct prb_asked {
+struct prb_remote {
 	struct prb *prb;
 	node_id from;
 	uint64_t serial;
@@ -35,7 +35,7 @@
 	struct cfg *cfg;
 	struct mem_view *view;
 	GHashTable *targets; /* name to struct prb_target */
-	GHashTable *asked;   /* struct prb_asked */
+	GHashTable *remote;  /* struct prb_remote */
 	ev_timer tick;
 	uint64_t probes;
 };
@@ -51,18 +51,18 @@
 	g_free(target);
 }
 
-static void asked_free(void *data)
+static void remote_free(void *data)
 {
-	struct prb_asked *asked = data;
+	struct prb_remote *remote = data;
 
-	prb_call_free(asked->call);
-	g_free(asked->server);
-	g_free(asked);
+	prb_call_free(remote->call);
+	g_free(remote->server);
+	g_free(remote);
 }
 
-static void tell(struct prb *prb, node_id to, enum msg_task task,
-		 uint64_t serial, const char *server,
-		 const struct prb_result *result)
+static void send_result(struct prb *prb, node_id to, enum msg_task task,
+			uint64_t serial, const char *server,
+			const struct prb_result *result)
 {
 	struct msg *m = msg_new(MSG_PROBE_TOLD, to, task);
 
@@ -80,18 +80,19 @@
 	struct prb *prb = target->prb;
 
 	target->call = NULL;
-	tell(prb, prb->node->self, MSG_TASK_DISPATCH, 0, target->name, result);
+	send_result(prb, prb->node->self, MSG_TASK_DISPATCH, 0, target->name,
+		    result);
 }
 
-static void on_asked(void *arg, const struct prb_result *result)
+static void on_remote_probed(void *arg, const struct prb_result *result)
 {
-	struct prb_asked *asked = arg;
-	struct prb *prb = asked->prb;
+	struct prb_remote *remote = arg;
+	struct prb *prb = remote->prb;
 
-	asked->call = NULL;
-	tell(prb, asked->from, MSG_TASK_EJECT, asked->serial, asked->server,
-	     result);
-	g_hash_table_remove(prb->asked, asked);
+	remote->call = NULL;
+	send_result(prb, remote->from, MSG_TASK_EJECT, remote->serial,
+		    remote->server, result);
+	g_hash_table_remove(prb->remote, remote);
 }
 
 static void probe(struct prb_target *target, int64_t now_us)
@@ -124,7 +125,7 @@
 	}
 }
 
-static bool same_text(const char *a, const char *b)
+static bool same_string(const char *a, const char *b)
 {
 	return a == b || (a && b && !strcmp(a, b));
 }
@@ -140,7 +141,7 @@
 		g_hash_table_lookup(prb->targets, server->name);
 
 	if (target && !strcmp(target->address, server->address) &&
-	    same_text(target->path, service->probe_path) &&
+	    same_string(target->path, service->probe_path) &&
 	    target->interval_us == service->probe_interval_us) {
 		g_hash_table_steal(prb->targets, server->name);
 	} else {
@@ -159,7 +160,7 @@
 	g_hash_table_insert(targets, target->name, target);
 }
 
-static void choose_targets(struct prb *prb, int64_t now_us)
+static void update_targets(struct prb *prb, int64_t now_us)
 {
 	GHashTable *targets = g_hash_table_new_full(g_str_hash, g_str_equal,
 						    NULL, target_free);
@@ -184,28 +185,28 @@
 	prb->targets = targets;
 }
 
-static void take_ask(struct prb *prb, const struct msg *m)
+static void accept_remote(struct prb *prb, const struct msg *m)
 {
 	handle h = prb->cfg ? cfg_find_server(prb->cfg, m->probe_ask.server) :
 			      FS_NONE;
 	const struct cfg_server *server;
-	struct prb_asked *asked;
+	struct prb_remote *remote;
 
-	if (h == FS_NONE || g_hash_table_size(prb->asked) >= ASKED_MAX)
+	if (h == FS_NONE || g_hash_table_size(prb->remote) >= REMOTE_PROBES_MAX)
 		return;
 	server = &prb->cfg->servers[h];
-	asked = g_new0(struct prb_asked, 1);
-	asked->prb = prb;
-	asked->from = m->from;
-	asked->serial = m->probe_ask.serial;
-	asked->server = g_strdup(m->probe_ask.server);
-	g_hash_table_add(prb->asked, asked);
-	asked->call =
+	remote = g_new0(struct prb_remote, 1);
+	remote->prb = prb;
+	remote->from = m->from;
+	remote->serial = m->probe_ask.serial;
+	remote->server = g_strdup(m->probe_ask.server);
+	g_hash_table_add(prb->remote, remote);
+	remote->call =
 		prb_call_new(prb->crl, server->address,
 			     prb->cfg->services[server->service].probe_path,
-			     on_asked, asked);
-	if (!asked->call)
-		g_hash_table_remove(prb->asked, asked);
+			     on_remote_probed, remote);
+	if (!remote->call)
+		g_hash_table_remove(prb->remote, remote);
 }
 
 static void receive(void *task, struct msg *m, int64_t now_us)
@@ -216,15 +217,15 @@
 	case MSG_CONFIG:
 		cfg_unref(prb->cfg);
 		prb->cfg = cfg_ref(m->config.cfg);
-		choose_targets(prb, now_us);
+		update_targets(prb, now_us);
 		break;
 	case MSG_VIEW:
 		mem_view_unref(prb->view);
 		prb->view = mem_view_ref(m->view.view);
-		choose_targets(prb, now_us);
+		update_targets(prb, now_us);
 		break;
 	case MSG_PROBE_ASK:
-		take_ask(prb, m);
+		accept_remote(prb, m);
 		break;
 	default:
 		break;
@@ -251,7 +252,7 @@
 	prb->crl = crl_new(node->loop, 1);
 	prb->targets = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					     target_free);
-	prb->asked = g_hash_table_new_full(NULL, NULL, asked_free, NULL);
+	prb->remote = g_hash_table_new_full(NULL, NULL, remote_free, NULL);
 	ev_timer_init(&prb->tick, on_tick, 0.0, TICK_US / 1e6);
 	prb->tick.data = prb;
 	ev_timer_start(node->loop, &prb->tick);
@@ -266,7 +267,7 @@
 		return;
 	ev_timer_stop(prb->node->loop, &prb->tick);
 	g_hash_table_unref(prb->targets);
-	g_hash_table_unref(prb->asked);
+	g_hash_table_unref(prb->remote);
 	crl_free(prb->crl);
 	cfg_unref(prb->cfg);
 	mem_view_unref(prb->view);
--- a/src/shd.c
+++ b/src/shd.c
@@ -4,7 +4,7 @@
 #include <xxhash.h>
 
 /** A member with its weight for one shard. */
-struct choice {
+struct candidate {
 	uint64_t weight;
 	const struct mem_member *member;
 };
@@ -24,8 +24,8 @@
 }
 
 /* Returns the servers of a service in one region, in the order of the text. */
-static GArray *servers_in(const struct cfg *cfg, handle service,
-			  const char *region)
+static GArray *servers_in_region(const struct cfg *cfg, handle service,
+				 const char *region)
 {
 	const struct cfg_service *s = &cfg->services[service];
 	GArray *servers = g_array_new(FALSE, FALSE, sizeof(handle));
@@ -40,10 +40,10 @@
 	return servers;
 }
 
-static void split(const struct cfg *cfg, handle service, const char *region,
-		  GArray *shards)
+static void append_shards(const struct cfg *cfg, handle service,
+			  const char *region, GArray *shards)
 {
-	g_autoptr(GArray) servers = servers_in(cfg, service, region);
+	g_autoptr(GArray) servers = servers_in_region(cfg, service, region);
 	uint32_t n = servers->len;
 	uint32_t parts = (n + FS_SHARD_SERVERS_MAX - 1) / FS_SHARD_SERVERS_MAX;
 	uint32_t next = 0;
@@ -85,8 +85,8 @@
 		map->first[service] = shards->len;
 		for (uint32_t d = 0; d < cfg->domain_count; d++)
 			if (!region_seen(cfg, d))
-				split(cfg, service, cfg->domains[d].region,
-				      shards);
+				append_shards(cfg, service,
+					      cfg->domains[d].region, shards);
 	}
 	map->count = shards->len;
 	map->first[cfg->service_count] = map->count;
@@ -120,7 +120,7 @@
 	return false;
 }
 
-static bool heavier(const struct choice *a, const struct choice *b)
+static bool heavier(const struct candidate *a, const struct candidate *b)
 {
 	if (!b->member)
 		return true;
@@ -129,27 +129,28 @@
 	return a->member->id > b->member->id;
 }
 
-/* Returns the heaviest eligible member that is not among those taken. */
+/* Returns the heaviest_member eligible member that is not among those chosen. */
 static const struct mem_member *
-heaviest(const struct shd_shard *shard, const struct mem_view *view,
-	 const char *region, const struct mem_member *const *taken,
-	 uint32_t taken_count, const char *other_than_domain)
+heaviest_member(const struct shd_shard *shard, const struct mem_view *view,
+		const char *region, const struct mem_member *const *chosen,
+		uint32_t chosen_count, const char *other_than_domain)
 {
-	struct choice best = {0};
+	struct candidate best = {0};
 
 	for (uint32_t i = 0; i < view->count; i++) {
 		const struct mem_member *m = &view->members[i];
-		struct choice choice = {shd_weight(shard->hash, m->id), m};
+		struct candidate candidate = {shd_weight(shard->hash, m->id),
+					      m};
 		bool used = false;
 
 		if (!eligible(view, m) || (region && strcmp(m->region, region)))
 			continue;
 		if (other_than_domain && !strcmp(m->domain, other_than_domain))
 			continue;
-		for (uint32_t t = 0; t < taken_count; t++)
-			used = used || taken[t] == m;
-		if (!used && heavier(&choice, &best))
-			best = choice;
+		for (uint32_t t = 0; t < chosen_count; t++)
+			used = used || chosen[t] == m;
+		if (!used && heavier(&candidate, &best))
+			best = candidate;
 	}
 	return best.member;
 }
@@ -159,21 +160,22 @@
 {
 	const char *region =
 		any_in_region(view, shard->region) ? shard->region : NULL;
-	const struct mem_member *taken[SHD_RANKS_MAX];
+	const struct mem_member *chosen[SHD_RANKS_MAX];
 
 	for (uint32_t r = 0; r <= rank && r < SHD_RANKS_MAX; r++) {
 		const struct mem_member *m = NULL;
 
 		if (r == 1)
-			m = heaviest(shard, view, region, taken, r,
-				     taken[0]->domain);
+			m = heaviest_member(shard, view, region, chosen, r,
+					    chosen[0]->domain);
 		if (!m)
-			m = heaviest(shard, view, region, taken, r, NULL);
+			m = heaviest_member(shard, view, region, chosen, r,
+					    NULL);
 		if (!m)
 			return 0;
 		if (r == rank)
 			return m->id;
-		taken[r] = m;
+		chosen[r] = m;
 	}
 	return 0;
 }
--- a/tests/prop_flr.cpp
+++ b/tests/prop_flr.cpp
@@ -1,7 +1,7 @@
 /*
  * The floor under faults: several nodes run flr_sync.h against one key-value
  * store in virtual time. At every instant, what all running nodes leave out
- * together must fit in the room of a configuration in force.
+ * together must fit in the headroom of a configuration in force.
  *
  * Each protection is also switched off in turn, and the same search must then
  * find the floor broken.
@@ -29,7 +29,7 @@
 constexpr int64_t CALL_DEADLINE_US = 2000000;
 
 /* One configuration with one service, made by hand. */
-struct Text {
+struct Config {
 	std::array<std::string, SERVERS> names;
 	std::array<cfg_server, SERVERS> servers{};
 	cfg_domain domain{};
@@ -37,7 +37,7 @@
 	struct cfg cfg {
 	};
 
-	Text(uint64_t version, int count, uint32_t floor, int leaving)
+	Config(uint64_t version, int count, uint32_t floor, int leaving)
 	{
 		domain.name = const_cast<char *>("pnw-a");
 		domain.region = const_cast<char *>("pnw");
@@ -63,13 +63,13 @@
 	}
 };
 
-std::vector<std::unique_ptr<Text>> make_texts(bool no_floor)
+std::vector<std::unique_ptr<Config>> make_configs(bool no_floor)
 {
-	std::vector<std::unique_ptr<Text>> texts;
+	std::vector<std::unique_ptr<Config>> configs;
 	auto add = [&](int count, uint32_t floor, int leaving) {
-		texts.push_back(std::make_unique<Text>(texts.size() + 1, count,
-						       no_floor ? 0 : floor,
-						       leaving));
+		configs.push_back(std::make_unique<Config>(
+			configs.size() + 1, count, no_floor ? 0 : floor,
+			leaving));
 	};
 
 	add(12, 750, 0);
@@ -77,7 +77,7 @@
 	add(8, 750, 0);
 	add(12, 750, 2);
 	add(12, 500, 0);
-	return texts;
+	return configs;
 }
 
 /* Which protections are off. */
@@ -107,8 +107,8 @@
 	flr_call kind;
 	std::string value;
 	uint64_t prev;
-	int64_t apply_at = -1; /* -1: lost */
-	int64_t late_at = 0;   /* the client gives up */
+	int64_t apply_at = -1;	/* -1: lost */
+	int64_t timeout_at = 0; /* the client gives up */
 	bool reply_lost = false;
 	bool applied = false;
 	bool closed = false; /* the node has its reply or gave up */
@@ -119,23 +119,23 @@
 struct Node {
 	flr_sync *sync = nullptr;
 	uint64_t life = 0;
-	size_t text = 0;
+	size_t config = 0;
 	int64_t paused_until = 0;
 	int64_t cut_to = 0;
 	int64_t cut_from = 0;
 	int64_t slow_until = 0;
 	int64_t slow_by = 0;
-	/* What the dispatcher was told last. */
-	flr_record *told = nullptr;
-	int64_t told_confirmed = 0;
+	/* What the dispatcher was published last. */
+	flr_record *published = nullptr;
+	int64_t published_confirmed = 0;
 };
 
 class World
 {
       public:
 	explicit World(const Mutation &m)
-		: mutation(m), texts(make_texts(m.no_floor)),
-		  truth(make_texts(false))
+		: mutation(m), configs(make_configs(m.no_floor)),
+		  truth(make_configs(false))
 	{
 		for (int n = 0; n < NODES; n++)
 			start(n);
@@ -144,7 +144,7 @@
 	{
 		for (auto &node : nodes) {
 			flr_sync_free(node.sync);
-			flr_record_free(node.told);
+			flr_record_free(node.published);
 		}
 	}
 	World(const World &) = delete;
@@ -154,7 +154,7 @@
 	bool run(const std::vector<Op> &ops)
 	{
 		for (const auto &op : ops) {
-			act(op);
+			apply_op(op);
 			if (!advance(TICK_US * (1 + op.amount % 6)))
 				return false;
 		}
@@ -165,8 +165,8 @@
 
       private:
 	Mutation mutation;
-	std::vector<std::unique_ptr<Text>> texts;
-	std::vector<std::unique_ptr<Text>> truth;
+	std::vector<std::unique_ptr<Config>> configs;
+	std::vector<std::unique_ptr<Config>> truth;
 	std::array<Node, NODES> nodes;
 	std::vector<Call> calls;
 	std::string stored;
@@ -174,7 +174,7 @@
 	int64_t now = 0;
 	int64_t outage_until = 0;
 	size_t newest = 0;
-	std::array<int64_t, NODES> text_due{};
+	std::array<int64_t, NODES> config_due{};
 
 	/* Each node has its own clock, with its own rate. */
 	int64_t clock(int n) const
@@ -186,7 +186,7 @@
 	{
 		auto *world = static_cast<World *>(arg);
 
-		if (!decision->err && !decision->give_back)
+		if (!decision->err && !decision->reinstate)
 			world->granted++;
 	}
 
@@ -195,27 +195,29 @@
 		Node &node = nodes[n];
 
 		flr_sync_free(node.sync);
-		flr_record_free(node.told);
-		node.told = nullptr;
+		flr_record_free(node.published);
+		node.published = nullptr;
 		node.sync = flr_sync_new(&mutation.times,
 					 ("n" + std::to_string(n)).c_str(),
 					 count_decision, this);
 		node.life++;
-		node.text = newest;
+		node.config = newest;
 	}
 
-	void act(const Op &op)
+	void apply_op(const Op &op)
 	{
 		Node &node = nodes[op.node];
 		int64_t span = (1 + op.amount) * FS_US_PER_S;
 		std::string server = "s" + std::to_string(op.server);
 
 		if (op.kind < 40)
-			flr_sync_ask(node.sync, server.c_str(),
-				     AUD_R_STEER_STALL, false, clock(op.node));
+			flr_sync_request(node.sync, server.c_str(),
+					 AUD_R_STEER_STALL, false,
+					 clock(op.node));
 		else if (op.kind < 62)
-			flr_sync_ask(node.sync, server.c_str(),
-				     AUD_R_STEER_STALL, true, clock(op.node));
+			flr_sync_request(node.sync, server.c_str(),
+					 AUD_R_STEER_STALL, true,
+					 clock(op.node));
 		else if (op.kind < 70)
 			node.paused_until = now + span;
 		else if (op.kind < 76)
@@ -229,14 +231,14 @@
 		else if (op.kind < 95)
 			start(op.node);
 		else
-			change_text(op);
+			change_config(op);
 	}
 
-	void change_text(const Op &op)
+	void change_config(const Op &op)
 	{
-		newest = (size_t)op.server % texts.size();
+		newest = (size_t)op.server % configs.size();
 		for (int n = 0; n < NODES; n++)
-			text_due[n] =
+			config_due[n] =
 				now + TICK_US * ((op.amount + n * 5) % 12);
 	}
 
@@ -248,7 +250,7 @@
 	void issue(int n)
 	{
 		Node &node = nodes[n];
-		flr_scope scope = texts[node.text]->scope();
+		flr_scope scope = configs[node.config]->scope();
 		g_autoptr(GString) value = g_string_new("");
 		uint64_t prev = 0;
 		flr_call kind = flr_sync_next(node.sync, &scope, clock(n),
@@ -262,7 +264,7 @@
 			call.apply_at += node.slow_by;
 		if (now < node.cut_to || now < outage_until)
 			call.apply_at = -1;
-		call.late_at = now + CALL_DEADLINE_US;
+		call.timeout_at = now + CALL_DEADLINE_US;
 		call.reply_lost = now < node.cut_from;
 		calls.push_back(call);
 	}
@@ -285,17 +287,18 @@
 	void finish(Call &call, int err)
 	{
 		Node &node = nodes[call.node];
-		flr_scope scope = texts[node.text]->scope();
+		flr_scope scope = configs[node.config]->scope();
 
 		call.closed = true;
 		if (call.life != node.life)
 			return;
 		if (call.kind == FLR_CALL_READ)
-			flr_sync_read(node.sync, &scope, err, call.revision,
-				      call.value.c_str(), clock(call.node));
+			flr_sync_read_done(node.sync, &scope, err,
+					   call.revision, call.value.c_str(),
+					   clock(call.node));
 		else
-			flr_sync_wrote(node.sync, &scope, err, call.revision,
-				       clock(call.node));
+			flr_sync_write_done(node.sync, &scope, err,
+					    call.revision, clock(call.node));
 	}
 
 	void step_calls()
@@ -309,7 +312,7 @@
 			if (call.applied && !call.reply_lost &&
 			    now >= nodes[call.node].cut_from)
 				finish(call, call.err);
-			else if (now >= call.late_at)
+			else if (now >= call.timeout_at)
 				finish(call, call.kind == FLR_CALL_READ ?
 						     FS_E_UNAVAILABLE :
 						     FS_E_AMBIGUOUS);
@@ -323,31 +326,32 @@
 			    calls.end());
 	}
 
-	void tell(int n)
+	void publish(int n)
 	{
 		Node &node = nodes[n];
 		const flr_record *record = flr_sync_record(node.sync, clock(n));
 
 		if (!record)
 			return;
-		flr_record_free(node.told);
-		node.told = flr_record_copy(record);
-		node.told_confirmed = flr_sync_confirmed(node.sync);
+		flr_record_free(node.published);
+		node.published = flr_record_copy(record);
+		node.published_confirmed = flr_sync_confirmed(node.sync);
 	}
 
 	/* What node @p n leaves out now. */
 	void collect(int n, std::set<std::string> &out) const
 	{
 		const Node &node = nodes[n];
-		flr_scope scope = texts[node.text]->scope();
+		flr_scope scope = configs[node.config]->scope();
 
-		if (!node.told || !flr_confirmed(&mutation.times,
-						 node.told_confirmed, clock(n)))
+		if (!node.published ||
+		    !flr_confirmed(&mutation.times, node.published_confirmed,
+				   clock(n)))
 			return;
 		for (int s = 0; s < SERVERS; s++) {
 			std::string name = "s" + std::to_string(s);
 
-			if (flr_enforced(node.told, &scope, name.c_str()))
+			if (flr_enforced(node.published, &scope, name.c_str()))
 				out.insert(name);
 		}
 	}
@@ -355,18 +359,19 @@
 	bool floor_holds() const
 	{
 		std::set<std::string> out;
-		int64_t room = 0;
+		int64_t headroom = 0;
 
 		for (int n = 0; n < NODES; n++) {
 			if (!running(n))
 				continue;
-			flr_scope scope = truth[nodes[n].text]->scope();
+			flr_scope scope = truth[nodes[n].config]->scope();
 
 			collect(n, out);
-			room = std::max(room,
-					flr_count(&scope) - flr_floor(&scope));
+			headroom =
+				std::max(headroom,
+					 flr_count(&scope) - flr_floor(&scope));
 		}
-		return (int64_t)out.size() <= room;
+		return (int64_t)out.size() <= headroom;
 	}
 
 	bool advance(int64_t span)
@@ -376,15 +381,15 @@
 			if (!floor_holds())
 				return false;
 			for (int n = 0; n < NODES; n++) {
-				if (running(n) && text_due[n] <= now)
-					nodes[n].text = newest;
+				if (running(n) && config_due[n] <= now)
+					nodes[n].config = newest;
 			}
 			step_calls();
 			for (int n = 0; n < NODES; n++) {
 				if (!running(n))
 					continue;
 				issue(n);
-				tell(n);
+				publish(n);
 			}
 			if (!floor_holds())
 				return false;
@@ -466,14 +471,14 @@
 	Mutation no_cas;
 	no_cas.no_cas = true;
 	ok &= mutation_found("no compare-and-swap", no_cas, RUNS);
-	Mutation no_hold;
-	no_hold.times.hold_us = 0;
-	ok &= mutation_found("no hold on returns", no_hold, RUNS);
-	Mutation no_lapse;
-	no_lapse.times.lapse_us = INT64_MAX / 4;
-	ok &= mutation_found("no lapse", no_lapse, RUNS);
-	Mutation long_lapse;
-	long_lapse.times.lapse_us = FS_RECORD_HOLD_US + 10 * FS_US_PER_S;
-	ok &= mutation_found("lapse longer than hold", long_lapse, RUNS);
+	Mutation no_hold_down;
+	no_hold_down.times.hold_down_us = 0;
+	ok &= mutation_found("no hold on returns", no_hold_down, RUNS);
+	Mutation no_expiry;
+	no_expiry.times.expiry_us = INT64_MAX / 4;
+	ok &= mutation_found("no lapse", no_expiry, RUNS);
+	Mutation long_expiry;
+	long_expiry.times.expiry_us = FS_RECORD_HOLD_US + 10 * FS_US_PER_S;
+	ok &= mutation_found("lapse longer than hold", long_expiry, RUNS);
 	return ok ? 0 : 1;
 }
--- a/tests/unit_slt.c
+++ b/tests/unit_slt.c
@@ -27,12 +27,12 @@
 	GRand *random;
 	bool naive; /* no admission, and late requests are run */
 	struct slt_server servers[SERVERS];
-	struct slt_times hold;
+	struct slt_times slot_times;
 	struct slt_times route;
 	struct que que;
 	GPtrArray *running; /* struct job */
 	struct job *jobs;
-	uint32_t good;
+	uint32_t succeeded;
 	uint32_t refused;
 	uint32_t wasted; /* ended past their deadline */
 	uint32_t overrun;
@@ -64,7 +64,7 @@
 			return;
 		que_remove(&s->que, item);
 		if (!s->naive &&
-		    slt_wait_too_long(slt_need(&s->route, DEADLINE_US),
+		    slt_wait_too_long(slt_service_time(&s->route, DEADLINE_US),
 				      left_us)) {
 			s->refused++;
 			continue;
@@ -80,9 +80,9 @@
 {
 	g_ptr_array_remove_fast(s->running, job);
 	s->servers[job->server].in_flight--;
-	slt_times_add(&s->hold, job->service_us);
+	slt_times_add(&s->slot_times, job->service_us);
 	if (job->ends_us <= job->deadline_us) {
-		s->good++;
+		s->succeeded++;
 		slt_times_add(&s->route, job->service_us);
 	} else {
 		s->wasted++;
@@ -91,14 +91,15 @@
 
 static void arrive(struct sim *s, struct job *job, int64_t now_us)
 {
-	struct slt_numbers n = {
+	struct slt_inputs n = {
 		.waiting = s->que.count,
 		.queue = s->naive ? NAIVE_QUEUE : QUEUE,
 		.ahead = que_ahead(&s->que, CFG_PRIORITY_NORMAL),
 		.usable = SERVERS * SLOTS,
 		.free_slots = SERVERS * SLOTS - (int64_t)s->running->len,
-		.hold_us = s->naive ? 0 : slt_times_mean(&s->hold),
-		.need_us = s->naive ? 0 : slt_need(&s->route, DEADLINE_US),
+		.slot_time_us = s->naive ? 0 : slt_times_mean(&s->slot_times),
+		.service_time_us =
+			s->naive ? 0 : slt_service_time(&s->route, DEADLINE_US),
 		.remaining_us = DEADLINE_US,
 	};
 
@@ -123,7 +124,7 @@
 	return first;
 }
 
-/* Returns good answers as a share of capacity. */
+/* Returns succeeded answers as a share of capacity. */
 static double run(struct sim *s, double load, bool naive)
 {
 	double gap_us = MEAN_US / (SERVERS * SLOTS) / load;
@@ -152,7 +153,7 @@
 	g_ptr_array_unref(s->running);
 	g_free(s->jobs);
 	g_rand_free(s->random);
-	return s->good * MEAN_US / (SERVERS * SLOTS) / (double)now_us;
+	return s->succeeded * MEAN_US / (SERVERS * SLOTS) / (double)now_us;
 }
 
 /* Near capacity is taken as nine tenths of it. */
@@ -187,11 +188,11 @@
 static void test_slow_route_is_admitted(void)
 {
 	struct slt_times route = {0};
-	struct slt_numbers n = {.queue = 1, .usable = 1, .free_slots = 1};
+	struct slt_inputs n = {.queue = 1, .usable = 1, .free_slots = 1};
 
 	for (int i = 0; i < SLT_TIMES; i++)
 		slt_times_add(&route, 5 * DEADLINE_US);
-	n.need_us = slt_need(&route, DEADLINE_US);
+	n.service_time_us = slt_service_time(&route, DEADLINE_US);
 	n.remaining_us = DEADLINE_US;
 	g_assert_cmpint(slt_admit(&n), ==, 0);
 	n.remaining_us = DEADLINE_US / 2;
