--- a/src/ejc.c
+++ b/src/ejc.c
@@ -1,5 +1,5 @@
-/* Keeps the ejection records of the services that this node dispatches, and
- * settles the dispatcher's wishes by them. */
+/* Maintains the ejection records of the services that this node dispatches, and
+ * handles the dispatcher's requests to eject and reinstate servers. */
 #include <string.h>
 
 #include "ejc_impl.h"
@@ -26,7 +26,8 @@
 	       shd_owner(shard, ejc->view, 0) == ejc->node->self;
 }
 
-/* Keeps the services of the shards that this node dispatches, no others. */
+/* Updates the set of services to those of the shards that this node
+ * dispatches. */
 static void update_services(struct ejc *ejc)
 {
 	GHashTable *services;
--- a/src/ejc_impl.h
+++ b/src/ejc_impl.h
@@ -1,6 +1,6 @@
 /**
  * @file ejc_impl.h
- * @brief Inside of the eject task: one object per service, path checks.
+ * @brief Internals of the eject task: per-service state, path checks.
  */
 #ifndef EJC_IMPL_H
 #define EJC_IMPL_H
@@ -9,38 +9,41 @@
 #include "node.h"
 #include "shd.h"
 
-#define EJC_WITNESSES 2				/* nodes asked about a path */
-#define EJC_PATH_TIMEOUT_US 2500000		/* for their answers */
-#define EJC_PATH_CACHE_US 30000000		/* an answer holds so long */
-#define EJC_REFUSAL_DEDUP_US (60 * FS_US_PER_S) /* same refusal: one record */
+#define EJC_WITNESSES 2		    /* nodes queried per path check */
+#define EJC_PATH_TIMEOUT_US 2500000 /* for the answers */
+#define EJC_PATH_CACHE_US 30000000  /* a refusal stays valid */
+/* Repeats of a refusal within this time are not audited. */
+#define EJC_REFUSAL_DEDUP_US (60 * FS_US_PER_S)
 
-/** Whether other failure domains reach a server. */
+/** Path check: whether nodes of other failure domains reach a server. */
 struct ejc_path {
-	uint64_t serial; /* of the question */
+	uint64_t serial; /* of the query */
 	int64_t queried_us;
-	bool pending;	   /* still waiting for answers */
-	int64_t witnesses; /* nodes asked */
+	bool pending;	   /* waiting for answers */
+	int64_t witnesses; /* nodes queried */
 	int64_t answered;  /* of these, answered */
 	int64_t reached;   /* of these, reached it */
 };
 
-/** What is kept of one server. */
+/** State of one server. */
 struct ejc_server {
 	struct ejc_path path;
-	enum aud_rule trigger_rule; /* rule of the wish that waits for the path */
-	enum aud_rule last_refusal; /* rule of the last refusal recorded */
+	/* rule of the ejection request that waits for the path check */
+	enum aud_rule trigger_rule;
+	/* rule of the last audited refusal, or AUD_RULE_COUNT */
+	enum aud_rule last_refusal;
 	int64_t last_refusal_us;
 };
 
-/** The record of one service in this node's region. */
+/** State of one service in this node's region. */
 struct ejc_service {
 	struct ejc *ejc;
 	char *name;
-	char *key; /* in the platform */
+	char *key; /* of the record in the platform's store */
 	struct flr_sync *sync;
-	GHashTable *servers; /* name to struct ejc_server */
-	int64_t published_us; /* confirmation that dispatch was answered of last */
-	bool published;	      /* dispatch has a record that may be in force */
+	GHashTable *servers;  /* name to struct ejc_server */
+	int64_t published_us; /* confirmed_us of the record sent last */
+	bool published; /* the dispatcher has a record that may be in force */
 };
 
 struct ejc {
@@ -48,47 +51,52 @@
 	struct cfg *cfg;
 	struct mem_view *view;
 	GHashTable *services; /* name to struct ejc_service */
-	uint64_t serial;      /* of the last question about a path */
+	uint64_t serial;      /* of the last path check */
 	ev_timer tick;
 };
 
 struct ejc_service *ejc_service_new(struct ejc *ejc, const char *name);
 void ejc_service_free(void *data);
 
-/** Makes the next call and tells dispatch of the record. */
+/** Performs the next call and sends changes of the record to the dispatcher. */
 void ejc_service_tick(struct ejc_service *service, int64_t now_us);
 
-/** Takes a wish of the dispatcher. */
+/** Accepts a request of the dispatcher to eject or reinstate a server. An
+ *  ejection for failed connections (AUD_R_STEER_CONNECT) needs a path check
+ *  first. */
 void ejc_service_request(struct ejc_service *service,
 			 const struct msg_eject_ask *request, int64_t now_us);
 
-/** Fills in the scope of a service. @return false if it left the text */
+/** Fills in the scope of a service.
+ *  @return false if the configuration no longer has the service */
 bool ejc_scope(const struct ejc_service *service, struct flr_scope *out);
 
-/** Returns what is kept of a server; made when missing. */
+/** Returns the state of a server, created on first use. */
 struct ejc_server *ejc_server_get(struct ejc_service *service,
 				  const char *name);
 
-/** Asks nodes of other failure domains whether they reach a server. */
+/** Starts a path check: queries nodes of other failure domains. */
 void ejc_path_query(struct ejc_service *service, const char *server,
 		    int64_t now_us);
 
-/** Takes an answer. */
+/** Accepts a probe result of a witness. */
 void ejc_path_receive(struct ejc *ejc, const struct msg_probe_told *result,
 		      int64_t now_us);
 
-/** Settles questions whose answers are all in, or late. */
+/** Completes path checks that have all answers, a witness that reaches the
+ *  server, or timed out. */
 void ejc_path_tick(struct ejc_service *service, int64_t now_us);
 
-/** Whether the answers speak against an ejection: a witness reaches the
- *  server, or none of those asked has answered. Shared with the audit. */
+/** Returns whether the answers rule out an ejection: a witness reaches the
+ *  server, or no queried witness has answered. Replayed by the audit. */
 bool ejc_rule_path(int64_t witnesses, int64_t answered, int64_t reached);
 
-/** Records a settled wish. */
+/** Writes the audit record of a completed request. */
 void ejc_record_decision(struct ejc_service *service,
 			 const struct flr_decision *decision, int64_t now_us);
 
-/** Records that the path, not the server, is at fault. */
+/** Writes the audit record of an ejection refused because the network path, not
+ *  the server, is at fault. */
 void ejc_record_path(struct ejc_service *service, const char *server,
 		     const struct ejc_path *path, int64_t now_us);
 
--- a/src/ejc_path.c
+++ b/src/ejc_path.c
@@ -7,8 +7,8 @@
 	return reached > 0 || (witnesses > 0 && answered == 0);
 }
 
-/* Whether a member can be a witness: alive, in a failure domain that is
- * neither this node's nor the server's, if @p strict. */
+/* Whether a member is a witness: alive and in another failure domain than this
+ * node and, if @p strict, than the server. */
 static bool is_witness(const struct ejc *ejc, const struct mem_member *member,
 		       const char *domain, bool strict)
 {
@@ -28,8 +28,8 @@
 	bus_send(ejc->node->bus, m);
 }
 
-/* Asks members from a place that differs per question, each in a failure
- * domain of its own where there are enough. */
+/* Queries witnesses, from a start index that depends on the serial number. If
+ * @p strict, two consecutive witnesses are in different failure domains. */
 static int64_t query_witnesses(struct ejc *ejc, const char *server,
 			       uint64_t serial, int64_t queried, bool strict)
 {
--- a/src/ejc_record.c
+++ b/src/ejc_record.c
@@ -1,6 +1,6 @@
 #include "ejc_impl.h"
 
-/* Whether the same refusal was recorded for the server a short while ago. */
+/* Whether the same refusal of the server was audited in EJC_REFUSAL_DEDUP_US. */
 static bool is_duplicate(struct ejc_service *service, const char *name,
 			 enum aud_rule rule, int64_t now_us)
 {
@@ -64,8 +64,8 @@
 	enum aud_rule rule = rule_of(decision);
 	struct aud_record rec;
 
-	/* Another node was first, or the text has changed: no choice here. A
-	 * return that waits for the platform is not an ejection last_refusal. */
+	/* Another node wrote first, or the configuration changed: this node made
+	 * no decision. A failed reinstatement is not a refused ejection. */
 	if (decision->err == FS_E_CONFLICT || decision->err == FS_E_NOT_FOUND ||
 	    (decision->err && decision->reinstate))
 		return;
--- a/src/flr.c
+++ b/src/flr.c
@@ -34,7 +34,7 @@
 	return count - out - 1 >= floor;
 }
 
-/* The handle of a server that counts in the scope, or FS_NONE. */
+/* Returns the handle of a server that counts towards the floor, or FS_NONE. */
 static handle counted_server(const struct flr_scope *scope, const char *name)
 {
 	const struct cfg *cfg = scope->cfg;
--- a/src/flr_json.c
+++ b/src/flr_json.c
@@ -4,7 +4,7 @@
 #include "flr.h"
 #include "fs_log.h"
 
-#define ENTRIES_MAX 1024 /* of one record */
+#define ENTRIES_MAX 1024 /* per record */
 
 static const char *const states[] = {
 	[FLR_OUT] = "out",
@@ -82,8 +82,8 @@
 	return *out >= 0;
 }
 
-static bool get_text(JsonObject *object, const char *name, char *out,
-		     size_t size)
+static bool get_string(JsonObject *object, const char *name, char *out,
+		       size_t size)
 {
 	JsonNode *node = json_object_get_member(object, name);
 
@@ -105,10 +105,11 @@
 	if (!JSON_NODE_HOLDS_OBJECT(node))
 		return false;
 	object = json_node_get_object(node);
-	if (!get_text(object, "server", entry->server, sizeof(entry->server)) ||
-	    !get_text(object, "state", state, sizeof(state)) ||
-	    !get_text(object, "rule", entry->rule, sizeof(entry->rule)) ||
-	    !get_text(object, "node", entry->node, sizeof(entry->node)) ||
+	if (!get_string(object, "server", entry->server,
+			sizeof(entry->server)) ||
+	    !get_string(object, "state", state, sizeof(state)) ||
+	    !get_string(object, "rule", entry->rule, sizeof(entry->rule)) ||
+	    !get_string(object, "node", entry->node, sizeof(entry->node)) ||
 	    !get_number(object, "epoch", &epoch) ||
 	    !get_number(object, "ejections", &ejections) ||
 	    ejections > UINT32_MAX)
--- a/src/flr_sync.c
+++ b/src/flr_sync.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-#define READ_RETRY_US (1 * FS_US_PER_S)	      /* between reads after an error */
-#define REQUEST_TIMEOUT_US (10 * FS_US_PER_S) /* a wish is refused after this */
+#define READ_RETRY_US (1 * FS_US_PER_S) /* delay after an error */
+#define REQUEST_TIMEOUT_US (10 * FS_US_PER_S)
 
-/** A wish that waits. */
+/** A pending request. */
 struct flr_request {
 	char server[FS_NAME_MAX];
 	enum aud_rule trigger_rule;
@@ -19,7 +19,7 @@
 	flr_decided_fn decided;
 	void *arg;
 	struct flr_watch *watch;
-	struct flr_record *record; /* NULL: never read */
+	struct flr_record *record; /* NULL: not read yet */
 	struct flr_record *draft;  /* being written */
 	uint64_t revision;
 	int64_t confirmed_us; /* start of the call that confirmed record */
@@ -78,7 +78,7 @@
 	request->requested_us = now_us;
 }
 
-/* Tells the end of the wish at @p i and removes it. */
+/* Reports the outcome of the request at @p i and removes it. */
 static void complete_request(struct flr_sync *sync, uint32_t i,
 			     const struct flr_scope *scope,
 			     const struct flr_record *record, int err)
@@ -104,7 +104,8 @@
 	sync->decided(sync->arg, &decision);
 }
 
-/* Whether @p record has what a wish requests for, by a write of this node. */
+/* Whether @p record reflects a request: the server is ejected by this node, or
+ * is not ejected. */
 static bool request_satisfied(const struct flr_sync *sync,
 			      const struct flr_request *request,
 			      const struct flr_record *record)
@@ -117,7 +118,7 @@
 	       !strcmp(entry->node, sync->node);
 }
 
-/* Settles what the record, now confirmed, has already. */
+/* Completes the requests that the confirmed record reflects already. */
 static void complete_satisfied(struct flr_sync *sync,
 			       const struct flr_scope *scope)
 {
@@ -138,7 +139,7 @@
 	flr_watch_observe(sync->watch, record, now_us);
 }
 
-/* Refuses wishes that the platform has kept waiting for too long. */
+/* Fails requests that could not be written in time. */
 static void time_out_requests(struct flr_sync *sync,
 			      const struct flr_scope *scope, int64_t now_us)
 {
@@ -166,7 +167,7 @@
 		complete_request(sync, i, scope, draft, err);
 }
 
-/* Drafts the record to write; NULL if nothing changes. */
+/* Returns the record to write, or NULL if nothing changes. */
 static struct flr_record *
 make_draft(struct flr_sync *sync, const struct flr_scope *scope, int64_t now_us)
 {
--- a/src/flr_watch.c
+++ b/src/flr_watch.c
@@ -2,7 +2,7 @@
 
 #include "flr.h"
 
-/** When an entry was first seen in a state. */
+/** When an entry was first observed in its current state. */
 struct flr_first_seen {
 	uint64_t epoch; /* that set the state */
 	int64_t since_us;
@@ -10,8 +10,8 @@
 
 struct flr_watch {
 	GHashTable *first_seen; /* server name to struct flr_first_seen */
-	uint64_t epoch;		/* highest noted */
-	bool rolled_back;	/* a lower epoch came after a higher one */
+	uint64_t epoch;		/* of the last record observed */
+	bool rolled_back;	/* the epoch went down once */
 	int64_t rolled_back_us;
 };
 
@@ -83,7 +83,7 @@
 	       now_us - watch->rolled_back_us >= times->hold_down_us;
 }
 
-/* Whether an entry has been seen in its present state for @p hold_down_us. */
+/* Whether an entry was observed in its current state for @p hold_down_us. */
 static bool in_state_for(const struct flr_watch *watch,
 			 const struct flr_entry *entry, int64_t hold_down_us,
 			 int64_t now_us)
--- a/src/prb.c
+++ b/src/prb.c
@@ -1,5 +1,5 @@
-/* Probes the servers of the shards that this node dispatches, and those that
- * nodes of other failure domains ask about. */
+/* Active health checks: probes the servers of the shards that this node
+ * dispatches, and servers that nodes of other failure domains query. */
 #include <string.h>
 
 #include "node.h"
@@ -7,20 +7,20 @@
 #include "shd.h"
 
 #define TICK_US (100 * FS_US_PER_MS)
-#define REMOTE_PROBES_MAX 64 /* probes for other nodes at a time */
+#define REMOTE_PROBES_MAX 64 /* concurrent probes for other nodes */
 
 /** A server that this node probes. */
 struct prb_target {
 	struct prb *prb;
 	char *name;
 	char *address;
-	char *path; /* or NULL */
+	char *path; /* NULL: connect only */
 	int64_t interval_us;
 	int64_t next_us;
 	struct prb_call *call;
 };
 
-/** A probe for another node. */
+/** A probe on behalf of another node. */
 struct prb_remote {
 	struct prb *prb;
 	node_id from;
@@ -130,7 +130,7 @@
 	return a == b || (a && b && !strcmp(a, b));
 }
 
-/* Keeps the target of the old table if nothing about it has changed. */
+/* Reuses the target of the old table if its settings are unchanged. */
 static void add_target(struct prb *prb, GHashTable *targets, handle h,
 		       int64_t now_us)
 {
@@ -151,7 +151,7 @@
 		target->address = g_strdup(server->address);
 		target->path = g_strdup(service->probe_path);
 		target->interval_us = service->probe_interval_us;
-		/* Spread over the interval, so that probes do not bunch. */
+		/* A phase offset per server keeps probes from bunching. */
 		target->next_us =
 			now_us +
 			(int64_t)(fs_node_id(server->name) %
--- a/src/prb_call.h
+++ b/src/prb_call.h
@@ -1,9 +1,10 @@
 /**
  * @file prb_call.h
- * @brief One probe of a target: can it be reached on a new connection?
+ * @brief One probe of a target on a new connection.
  *
- * With a path, a GET whose any HTTP answer counts; without one, a connection
- * is enough. Limits: PRB_TIMEOUT_US for the whole probe; the body is dropped.
+ * With a path, sends a GET; any HTTP answer counts as reachable. Without one, a
+ * TCP connection is enough. PRB_TIMEOUT_US limits the complete probe; the body
+ * is discarded.
  */
 #ifndef PRB_CALL_H
 #define PRB_CALL_H
@@ -14,24 +15,24 @@
 
 struct prb_call;
 
-/** What a probe found. */
+/** Result of a probe. */
 struct prb_result {
 	bool reachable;
-	bool draining; /* the answer's header field "Draining: 1" */
+	bool draining; /* the answer has the header field "Draining: 1" */
 	int64_t took_us;
 };
 
 typedef void (*prb_done_fn)(void *arg, const struct prb_result *result);
 
 /**
- * Starts a probe; @p done is called once and the call is freed then.
+ * Starts a probe; @p done is called once, after the call was freed.
  * @param path  NULL: connect only
  * @return NULL if it could not be started
  */
 struct prb_call *prb_call_new(struct crl *crl, const char *address,
 			      const char *path, prb_done_fn done, void *arg);
 
-/** Stops a probe that has not ended; its function is not called. */
+/** Cancels a probe; its callback is not called. */
 void prb_call_free(struct prb_call *call);
 
 #endif
--- a/src/shd.c
+++ b/src/shd.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/** A member with its weight for one shard. */
+/** A member with its rendezvous weight for one shard. */
 struct candidate {
 	uint64_t weight;
 	const struct mem_member *member;
@@ -23,7 +23,7 @@
 	return XXH64(&node, sizeof(node), key);
 }
 
-/* Returns the servers of a service in one region, in the order of the text. */
+/* Returns handles in the order of the configuration. */
 static GArray *servers_in_region(const struct cfg *cfg, handle service,
 				 const char *region)
 {
@@ -65,7 +65,7 @@
 	}
 }
 
-/* Returns whether an earlier domain of the table lies in the same region. */
+/* Returns whether an earlier domain of the table is in the same region. */
 static bool region_seen(const struct cfg *cfg, uint32_t domain)
 {
 	for (uint32_t i = 0; i < domain; i++)
@@ -103,7 +103,8 @@
 	g_free(map);
 }
 
-/* The node itself cannot be suspect to itself. */
+/* A node's own entry is skipped only when it is leaving: it does not suspect
+ * itself. */
 static bool eligible(const struct mem_view *view, const struct mem_member *m)
 {
 	if (m->id == view->self)
@@ -129,7 +130,7 @@
 	return a->member->id > b->member->id;
 }
 
-/* Returns the heaviest_member eligible member that is not among those chosen. */
+/* Returns the eligible member of highest weight that is not in @p chosen. */
 static const struct mem_member *
 heaviest_member(const struct shd_shard *shard, const struct mem_view *view,
 		const char *region, const struct mem_member *const *chosen,
--- a/src/shd.h
+++ b/src/shd.h
@@ -1,12 +1,12 @@
 /**
  * @file shd.h
- * @brief Shards of a service's servers, and the nodes that dispatch them.
+ * @brief Shards of a service's servers, and their dispatcher nodes.
  *
- * The servers of a service in one region, in the order of the text, are split
- * into shards of nearly equal size, at most FS_SHARD_SERVERS_MAX each.
- * Rendezvous hashing over the members of the region that live names each
- * shard's dispatcher; the second choice lies in another failure domain if any
- * member does. All functions are pure.
+ * The servers of a service in one region, in the order of the configuration,
+ * are split into shards of nearly equal size, at most FS_SHARD_SERVERS_MAX each.
+ * Rendezvous hashing over the live members of the region, or of all regions if
+ * it has none, assigns each shard's dispatcher. Its standby is in another
+ * failure domain if any such member is. All functions are pure.
  */
 #ifndef SHD_H
 #define SHD_H
@@ -14,9 +14,9 @@
 #include "cfg.h"
 #include "mem.h"
 
-#define SHD_RANKS_MAX 8 /* choices that shd_owner() knows */
+#define SHD_RANKS_MAX 8 /* bound of shd_owner()'s rank */
 
-/** One shard; the table of all of them belongs to a configuration. */
+/** One shard of a configuration. */
 struct shd_shard {
 	handle service;
 	uint32_t index;	    /* within service and region, from 0 */
@@ -30,7 +30,7 @@
 struct shd_map {
 	struct shd_shard *shards;
 	uint32_t count;
-	handle *first; /* of each service; first[service_count] is count */
+	handle *first; /* shard index by service; first[service_count] is count */
 };
 
 /** Splits the servers of @p cfg; free with shd_map_free(). */
@@ -40,15 +40,15 @@
 /**
  * Returns the node that dispatches a shard.
  * @param shard  the shard
- * @param view   members; leaving, dead and suspect ones are passed over
- * @param rank   0 for the dispatcher, 1 for the second choice, and so on,
- *               below SHD_RANKS_MAX
- * @return the node, or 0 if there are not so many
+ * @param view   members; leaving, dead and suspected ones are skipped
+ * @param rank   0 for the dispatcher, 1 for its standby, and so on, below
+ *               SHD_RANKS_MAX
+ * @return the node, or 0 if there are too few eligible members
  */
 node_id shd_owner(const struct shd_shard *shard, const struct mem_view *view,
 		  uint32_t rank);
 
-/** Returns the weight of a node for a key; the heaviest is the first choice. */
+/** Returns the rendezvous weight of a node for a key; the highest has rank 0. */
 uint64_t shd_weight(uint64_t key, node_id node);
 
 /** Returns the handle of a shard by service name, region and index. */
--- a/src/slt.c
+++ b/src/slt.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SLT_SERVICE_TIME_PERMILLE 900 /* of a route's recent answers */
+#define SLT_SERVICE_TIME_PERMILLE 900 /* of a route's recent answer times */
 
 void slt_times_add(struct slt_times *times, int64_t us)
 {
@@ -93,7 +93,7 @@
 	return !server->leaving && server->in_flight < server->allowed;
 }
 
-/* Whether @p a goes before @p b. */
+/* Whether @p a is preferred to @p b: not last resort, then utilisation. */
 static bool is_preferred(const struct slt_server *a, const struct slt_server *b)
 {
 	if (a->last_resort != b->last_resort)
--- a/tests/prop_flr.cpp
+++ b/tests/prop_flr.cpp
@@ -1,10 +1,10 @@
 /*
  * The floor under faults: several nodes run flr_sync.h against one key-value
- * store in virtual time. At every instant, what all running nodes leave out
- * together must fit in the headroom of a configuration in force.
+ * store in virtual time. At every tick, the servers that all running nodes
+ * eject together must fit in the headroom of a configuration in force.
  *
- * Each protection is also switched off in turn, and the same search must then
- * find the floor broken.
+ * Each protection is also disabled in turn; the same search must then find a
+ * violation of the floor.
  */
 #include <rapidcheck.h>
 
@@ -28,7 +28,7 @@
 constexpr int64_t TICK_US = 500000;
 constexpr int64_t CALL_DEADLINE_US = 2000000;
 
-/* One configuration with one service, made by hand. */
+/* One configuration with one service. */
 struct Config {
 	std::array<std::string, SERVERS> names;
 	std::array<cfg_server, SERVERS> servers{};
@@ -80,7 +80,7 @@
 	return configs;
 }
 
-/* Which protections are off. */
+/* Which protections are disabled. */
 struct Mutation {
 	bool no_floor = false;
 	bool no_cas = false;
@@ -100,18 +100,18 @@
 		  << op.amount << "}";
 }
 
-/* A call on its way to the store and back. */
+/* A call in flight to the store and back. */
 struct Call {
 	int node;
-	uint64_t life; /* of the node that made it */
+	uint64_t life; /* incarnation of the calling node */
 	flr_call kind;
 	std::string value;
 	uint64_t prev;
 	int64_t apply_at = -1;	/* -1: lost */
-	int64_t timeout_at = 0; /* the client gives up */
+	int64_t timeout_at = 0; /* the client times out */
 	bool reply_lost = false;
 	bool applied = false;
-	bool closed = false; /* the node has its reply or gave up */
+	bool closed = false; /* the node has its reply or timed out */
 	int err = 0;
 	uint64_t revision = 0;
 };
@@ -125,7 +125,7 @@
 	int64_t cut_from = 0;
 	int64_t slow_until = 0;
 	int64_t slow_by = 0;
-	/* What the dispatcher was published last. */
+	/* The record sent to the dispatcher last. */
 	flr_record *published = nullptr;
 	int64_t published_confirmed = 0;
 };
@@ -150,7 +150,7 @@
 	World(const World &) = delete;
 	World &operator=(const World &) = delete;
 
-	/* Returns false once the floor is broken. */
+	/* Returns false once the floor is violated. */
 	bool run(const std::vector<Op> &ops)
 	{
 		for (const auto &op : ops) {
@@ -176,7 +176,7 @@
 	size_t newest = 0;
 	std::array<int64_t, NODES> config_due{};
 
-	/* Each node has its own clock, with its own rate. */
+	/* Node n's clock has its own offset and runs n / 200 faster. */
 	int64_t clock(int n) const
 	{
 		return (n + 1) * 7000000000LL + now + now / 200 * n;
@@ -338,8 +338,8 @@
 		node.published_confirmed = flr_sync_confirmed(node.sync);
 	}
 
-	/* What node @p n leaves out now. */
-	void collect(int n, std::set<std::string> &out) const
+	/* Adds the servers that node @p n ejects now. */
+	void collect_ejected(int n, std::set<std::string> &out) const
 	{
 		const Node &node = nodes[n];
 		flr_scope scope = configs[node.config]->scope();
@@ -366,7 +366,7 @@
 				continue;
 			flr_scope scope = truth[nodes[n].config]->scope();
 
-			collect(n, out);
+			collect_ejected(n, out);
 			headroom =
 				std::max(headroom,
 					 flr_count(&scope) - flr_floor(&scope));
@@ -420,17 +420,17 @@
 	return ops;
 }
 
-/* Returns after how many runs the floor was broken; 0: never. */
+/* Returns the number of the run that violated the floor; 0: none. */
 int search(const Mutation &mutation, int runs, int *granted)
 {
 	std::mt19937 random(20261204);
 
 	for (int run = 1; run <= runs; run++) {
 		World world(mutation);
-		bool held = world.run(random_ops(random, 120));
+		bool floor_held = world.run(random_ops(random, 120));
 
 		*granted += world.granted;
-		if (!held)
+		if (!floor_held)
 			return run;
 	}
 	return 0;
@@ -441,7 +441,7 @@
 	int granted = 0;
 	int found = search(mutation, runs, &granted);
 
-	std::printf("%s: floor broken in run %d of at most %d\n", name, found,
+	std::printf("%s: floor violated in run %d of at most %d\n", name, found,
 		    runs);
 	return found != 0;
 }
@@ -461,8 +461,8 @@
 		RC_ASSERT(world.run(*ops_gen()));
 	});
 	int found = search(none, RUNS, &granted);
-	std::printf("protected: broken in run %d of %d, %d ejections\n", found,
-		    RUNS, granted);
+	std::printf("protected: violated in run %d of %d, %d ejections\n",
+		    found, RUNS, granted);
 	ok &= found == 0 && granted > RUNS;
 
 	Mutation no_floor;
@@ -473,12 +473,12 @@
 	ok &= mutation_found("no compare-and-swap", no_cas, RUNS);
 	Mutation no_hold_down;
 	no_hold_down.times.hold_down_us = 0;
-	ok &= mutation_found("no hold on returns", no_hold_down, RUNS);
+	ok &= mutation_found("no hold-down of returns", no_hold_down, RUNS);
 	Mutation no_expiry;
 	no_expiry.times.expiry_us = INT64_MAX / 4;
-	ok &= mutation_found("no lapse", no_expiry, RUNS);
+	ok &= mutation_found("no expiry", no_expiry, RUNS);
 	Mutation long_expiry;
 	long_expiry.times.expiry_us = FS_RECORD_HOLD_US + 10 * FS_US_PER_S;
-	ok &= mutation_found("lapse longer than hold", long_expiry, RUNS);
+	ok &= mutation_found("expiry longer than hold-down", long_expiry, RUNS);
 	return ok ? 0 : 1;
 }
--- a/tests/prop_shd.cpp
+++ b/tests/prop_shd.cpp
@@ -1,4 +1,4 @@
-// Properties of shards and of the rendezvous hashing that names dispatchers.
+// Properties of shards and of the rendezvous hashing that assigns dispatchers.
 #include <rapidcheck.h>
 
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-// The C headers have members of that name.
+// The C headers have members named operator.
 #define operator operator_address
 extern "C" {
 #include "shd.h"
@@ -20,13 +20,13 @@
 const char *const REGIONS[] = {"pnw", "casa"};
 
 // A configuration with services of the given sizes; server i of a service
-// lies in domain i % 5, of which three are in the first region.
+// is in domain i % 5; the first three domains are in the first region.
 struct Fixture {
 	std::vector<std::string> names;
 	std::vector<cfg_service> services;
 	std::vector<cfg_server> servers;
 	std::vector<cfg_domain> domains;
-	cfg text = {};
+	cfg config = {};
 
 	explicit Fixture(const std::vector<uint32_t> &sizes)
 	{
@@ -50,12 +50,12 @@
 			}
 			services.push_back(s);
 		}
-		text.domains = domains.data();
-		text.domain_count = 5;
-		text.services = services.data();
-		text.service_count = (uint32_t)services.size();
-		text.servers = servers.data();
-		text.server_count = (uint32_t)servers.size();
+		config.domains = domains.data();
+		config.domain_count = 5;
+		config.services = services.data();
+		config.service_count = (uint32_t)services.size();
+		config.servers = servers.data();
+		config.server_count = (uint32_t)servers.size();
 	}
 };
 
@@ -97,7 +97,7 @@
 {
 	return rc::check("every server is in one shard of its region", [] {
 		Fixture f(*gen_sizes());
-		shd_map *map = shd_map_new(&f.text);
+		shd_map *map = shd_map_new(&f.config);
 		std::set<handle> seen;
 		std::map<std::pair<handle, std::string>, std::set<uint32_t>>
 			sizes;
@@ -117,7 +117,7 @@
 				RC_ASSERT(std::string(s.region) ==
 					  f.domains[v.domain].region);
 			}
-			RC_ASSERT(shd_find(map, &f.text,
+			RC_ASSERT(shd_find(map, &f.config,
 					   f.services[s.service].name, s.region,
 					   s.index) == i);
 		}
@@ -130,7 +130,7 @@
 	});
 }
 
-// The view with one member more, and every shard's choices in both.
+// Compares every shard's dispatcher before and after a member joins.
 bool one_member_moves_its_own_shards()
 {
 	return rc::check("a member moves only the shards it has", [] {
@@ -139,7 +139,7 @@
 		int added = *rc::gen::inRange(60, 90);
 		auto after = before;
 		node_id id = fs_node_id(("n" + std::to_string(added)).c_str());
-		shd_map *map = shd_map_new(&f.text);
+		shd_map *map = shd_map_new(&f.config);
 
 		after.insert(added);
 		RC_PRE(!before.empty());
@@ -164,12 +164,12 @@
 	});
 }
 
-bool choices_are_live_and_apart()
+bool dispatchers_are_live_and_distinct()
 {
 	return rc::check("choices live, differ, and spread over domains", [] {
 		Fixture f({40});
 		mem_view *view = make_view(*gen_numbers());
-		shd_map *map = shd_map_new(&f.text);
+		shd_map *map = shd_map_new(&f.config);
 		std::map<std::string, std::set<std::string>> domains;
 		bool any = false;
 
@@ -211,7 +211,7 @@
 	});
 }
 
-// With m shards to a member on average, nobody has over m + 5 sqrt(m) + 5.
+// With m shards per member on average, no member has over m + 5 sqrt(m) + 5.
 bool members_share_the_shards()
 {
 	return rc::check("shards are spread over the members", [] {
@@ -220,7 +220,7 @@
 		std::set<int> numbers;
 		int n = *rc::gen::inRange(1, 60);
 		std::map<node_id, uint32_t> load;
-		shd_map *map = shd_map_new(&f.text);
+		shd_map *map = shd_map_new(&f.config);
 
 		for (int i = 0; i < n; i++)
 			numbers.insert(i * 5);
@@ -243,7 +243,7 @@
 	bool ok = every_server_in_one_shard();
 
 	ok = one_member_moves_its_own_shards() && ok;
-	ok = choices_are_live_and_apart() && ok;
+	ok = dispatchers_are_live_and_distinct() && ok;
 	ok = members_share_the_shards() && ok;
 	return ok ? 0 : 1;
 }
--- a/tests/prop_slt.cpp
+++ b/tests/prop_slt.cpp
@@ -1,6 +1,6 @@
 /*
- * Choice of a server and admission over arbitrary numbers, and the queue
- * against a plain model.
+ * Choice of a server and admission control over arbitrary inputs, and the queue
+ * against a reference model.
  */
 #include <rapidcheck.h>
 
@@ -25,8 +25,8 @@
 	return s;
 }
 
-/* Whatever starts and ends, no server gets more than it is allowed, none that
- * leaves gets any, and a free slot is always found. */
+/* A chosen server is below its limit and not leaving; a free slot is always
+ * found. */
 bool check_choice()
 {
 	return rc::check("a server is chosen within its slots", [] {
@@ -60,8 +60,8 @@
 	});
 }
 
-/* What is let in fits the bound and the deadline; a fresh request is never
- * refused while a slot is free. */
+/* An admitted request fits the queue limit and its deadline; a request with its
+ * complete deadline left is never refused while a slot is free. */
 bool check_admission()
 {
 	return rc::check("admission keeps the bounds", [] {
@@ -98,7 +98,8 @@
 	return true;
 }
 
-/* Order by priority, then age; the victim is the youngest of the lowest. */
+/* Order by priority, then age; the victim is the youngest request of the lowest
+ * priority. */
 bool check_queue()
 {
 	return rc::check("the queue keeps its order", [] {
--- a/tests/unit_flr.c
+++ b/tests/unit_flr.c
@@ -4,7 +4,7 @@
 
 #define S FS_US_PER_S
 
-/* Four servers, of which two must stay. */
+/* Four servers with a floor of two. */
 static struct cfg_domain domain = {(char *)"a", (char *)"r"};
 static struct cfg_server servers[] = {
 	{.name = (char *)"s1"},
@@ -56,7 +56,7 @@
 	flr_record_free(record);
 }
 
-static void test_return_keeps_its_place_for_the_hold(void)
+static void test_returning_keeps_position_during_hold_down(void)
 {
 	const struct flr_times *times = &flr_times_default;
 	struct flr_record *record = two_out();
@@ -80,7 +80,7 @@
 	flr_record_free(record);
 }
 
-static void test_smaller_room_trims_the_latest(void)
+static void test_reduced_headroom_trims_last_position(void)
 {
 	struct flr_record *record = two_out();
 	struct cfg_service stricter = service;
@@ -96,7 +96,7 @@
 	flr_record_free(record);
 }
 
-static void test_a_lost_record_stops_grants(void)
+static void test_lost_record_blocks_grants(void)
 {
 	struct flr_record *record = two_out();
 	struct flr_record *empty = flr_record_new();
@@ -146,7 +146,8 @@
 	*(struct flr_decision *)arg = *decision;
 }
 
-/* The reply to a write is lost: it is read back, and told as done once. */
+/* The reply to a write is lost: the record is read back, and the request
+ * completes once. */
 static void test_lost_reply_is_read_back(void)
 {
 	struct flr_decision last = {.err = 1};
@@ -175,8 +176,8 @@
 	flr_sync_free(sync);
 }
 
-/* The platform is away: the record lapses and the wish is refused. */
-static void test_platform_away(void)
+/* The platform does not answer: the record expires and the request fails. */
+static void test_platform_unavailable(void)
 {
 	struct flr_decision last = {0};
 	struct flr_sync *sync =
@@ -205,15 +206,15 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/flr/grant_keeps_the_floor",
 			test_grant_keeps_the_floor);
-	g_test_add_func("/flr/return_keeps_its_place_for_the_hold",
-			test_return_keeps_its_place_for_the_hold);
-	g_test_add_func("/flr/smaller_room_trims_the_latest",
-			test_smaller_room_trims_the_latest);
-	g_test_add_func("/flr/a_lost_record_stops_grants",
-			test_a_lost_record_stops_grants);
+	g_test_add_func("/flr/returning_keeps_position_during_hold_down",
+			test_returning_keeps_position_during_hold_down);
+	g_test_add_func("/flr/reduced_headroom_trims_last_position",
+			test_reduced_headroom_trims_last_position);
+	g_test_add_func("/flr/lost_record_blocks_grants",
+			test_lost_record_blocks_grants);
 	g_test_add_func("/flr/json", test_json);
 	g_test_add_func("/flr/lost_reply_is_read_back",
 			test_lost_reply_is_read_back);
-	g_test_add_func("/flr/platform_away", test_platform_away);
+	g_test_add_func("/flr/platform_unavailable", test_platform_unavailable);
 	return g_test_run();
 }
--- a/tests/unit_slt.c
+++ b/tests/unit_slt.c
@@ -1,5 +1,5 @@
-/* Goodput of the admission policy in virtual time, beside a policy without it:
- * a shard of 8 servers with 4 slots each, and more and more load. */
+/* Goodput under overload in virtual time, with and without admission control:
+ * a shard of 8 servers with 4 slots each, under increasing load. */
 #include <math.h>
 #include <string.h>
 
@@ -10,7 +10,7 @@
 #define SLOTS 4
 #define QUEUE 64
 #define NAIVE_QUEUE 100000
-#define MEAN_US 40000.0	   /* a request holds a slot */
+#define MEAN_US 40000.0	   /* mean time a request occupies a slot */
 #define DEADLINE_US 400000 /* of every request */
 #define REQUESTS 20000
 
@@ -25,7 +25,7 @@
 
 struct sim {
 	GRand *random;
-	bool naive; /* no admission, and late requests are run */
+	bool naive; /* no admission control, and late requests run */
 	struct slt_server servers[SERVERS];
 	struct slt_times slot_times;
 	struct slt_times route;
@@ -34,7 +34,7 @@
 	struct job *jobs;
 	uint32_t succeeded;
 	uint32_t refused;
-	uint32_t wasted; /* ended past their deadline */
+	uint32_t wasted; /* ended after their deadline */
 	uint32_t overrun;
 };
 
@@ -124,7 +124,7 @@
 	return first;
 }
 
-/* Returns succeeded answers as a share of capacity. */
+/* Returns the goodput: answers in time as a share of capacity. */
 static double run(struct sim *s, double load, bool naive)
 {
 	double gap_us = MEAN_US / (SERVERS * SLOTS) / load;
@@ -156,7 +156,7 @@
 	return s->succeeded * MEAN_US / (SERVERS * SLOTS) / (double)now_us;
 }
 
-/* Near capacity is taken as nine tenths of it. */
+/* Goodput near capacity means at least nine tenths of it. */
 static void test_goodput_under_overload(void)
 {
 	static const double loads[] = {1.0, 2.0, 3.0};
@@ -173,7 +173,7 @@
 	}
 }
 
-/* The test can tell: without admission the goodput collapses. */
+/* Checks that the simulation detects a collapse without admission control. */
 static void test_collapse_without_admission(void)
 {
 	struct sim s;
@@ -184,7 +184,8 @@
 	g_assert_cmpfloat(goodput, <, 0.5);
 }
 
-/* A route that is slower than half of its deadline is not refused for ever. */
+/* A route slower than half of its deadline must not be refused for good: its
+ * estimate would get no new samples. */
 static void test_slow_route_is_admitted(void)
 {
 	struct slt_times route = {0};
