--- a/src/flr.h
+++ b/src/flr.h
@@ -155,14 +155,14 @@
  * @param seen_us  when the read ended
  * @return 0, or FS_E_STALE if its epoch is lower than one observed before: the
  *         platform has lost a record, and no ejection may be granted until
- *         flr_watch_settled()
+ *         flr_watch_may_grant()
  */
 int flr_watch_observe(struct flr_watch *watch, const struct flr_record *record,
 		      int64_t seen_us);
 
 /** Returns whether ejections may be granted: no record was lost, or the
  *  hold-down time has passed since. */
-bool flr_watch_settled(const struct flr_watch *watch,
-		       const struct flr_times *times, int64_t now_us);
+bool flr_watch_may_grant(const struct flr_watch *watch,
+			 const struct flr_times *times, int64_t now_us);
 
 #endif
--- a/src/flr_sync.c
+++ b/src/flr_sync.c
@@ -176,7 +176,7 @@
 
 	flr_trim(draft, scope);
 	flr_expire(draft, scope, sync->watch, sync->times, now_us);
-	if (flr_watch_settled(sync->watch, sync->times, now_us)) {
+	if (flr_watch_may_grant(sync->watch, sync->times, now_us)) {
 		for (uint32_t i = sync->request_count; i-- > 0;)
 			apply_request(sync, i, scope, draft);
 	}
--- a/src/flr_watch.c
+++ b/src/flr_watch.c
@@ -76,8 +76,8 @@
 	return stale ? FS_E_STALE : 0;
 }
 
-bool flr_watch_settled(const struct flr_watch *watch,
-		       const struct flr_times *times, int64_t now_us)
+bool flr_watch_may_grant(const struct flr_watch *watch,
+			 const struct flr_times *times, int64_t now_us)
 {
 	return !watch->rolled_back ||
 	       now_us - watch->rolled_back_us >= times->hold_down_us;
--- a/src/prb.c
+++ b/src/prb.c
@@ -185,7 +185,7 @@
 	prb->targets = targets;
 }
 
-static void accept_remote(struct prb *prb, const struct msg *m)
+static void accept_probe_request(struct prb *prb, const struct msg *m)
 {
 	handle h = prb->cfg ? cfg_find_server(prb->cfg, m->probe_ask.server) :
 			      FS_NONE;
@@ -225,7 +225,7 @@
 		update_targets(prb, now_us);
 		break;
 	case MSG_PROBE_ASK:
-		accept_remote(prb, m);
+		accept_probe_request(prb, m);
 		break;
 	default:
 		break;
--- a/tests/prop_flr.cpp
+++ b/tests/prop_flr.cpp
@@ -103,7 +103,7 @@
 /* A call in flight to the store and back. */
 struct Call {
 	int node;
-	uint64_t life; /* incarnation of the calling node */
+	uint64_t incarnation; /* of the calling node */
 	flr_call kind;
 	std::string value;
 	uint64_t prev;
@@ -118,7 +118,7 @@
 
 struct Node {
 	flr_sync *sync = nullptr;
-	uint64_t life = 0;
+	uint64_t incarnation = 0;
 	size_t config = 0;
 	int64_t paused_until = 0;
 	int64_t cut_to = 0;
@@ -135,7 +135,7 @@
       public:
 	explicit World(const Mutation &m)
 		: mutation(m), configs(make_configs(m.no_floor)),
-		  truth(make_configs(false))
+		  true_configs(make_configs(false))
 	{
 		for (int n = 0; n < NODES; n++)
 			start(n);
@@ -166,7 +166,7 @@
       private:
 	Mutation mutation;
 	std::vector<std::unique_ptr<Config>> configs;
-	std::vector<std::unique_ptr<Config>> truth;
+	std::vector<std::unique_ptr<Config>> true_configs;
 	std::array<Node, NODES> nodes;
 	std::vector<Call> calls;
 	std::string stored;
@@ -200,7 +200,7 @@
 		node.sync = flr_sync_new(&mutation.times,
 					 ("n" + std::to_string(n)).c_str(),
 					 count_decision, this);
-		node.life++;
+		node.incarnation++;
 		node.config = newest;
 	}
 
@@ -258,7 +258,7 @@
 
 		if (kind == FLR_CALL_NONE)
 			return;
-		Call call{n, node.life, kind, value->str, prev};
+		Call call{n, node.incarnation, kind, value->str, prev};
 		call.apply_at = now + TICK_US;
 		if (now < node.slow_until)
 			call.apply_at += node.slow_by;
@@ -290,7 +290,7 @@
 		flr_scope scope = configs[node.config]->scope();
 
 		call.closed = true;
-		if (call.life != node.life)
+		if (call.incarnation != node.incarnation)
 			return;
 		if (call.kind == FLR_CALL_READ)
 			flr_sync_read_done(node.sync, &scope, err,
@@ -364,7 +364,8 @@
 		for (int n = 0; n < NODES; n++) {
 			if (!running(n))
 				continue;
-			flr_scope scope = truth[nodes[n].config]->scope();
+			flr_scope scope =
+				true_configs[nodes[n].config]->scope();
 
 			collect_ejected(n, out);
 			headroom =
--- a/tests/prop_slt.cpp
+++ b/tests/prop_slt.cpp
@@ -14,7 +14,7 @@
 
 namespace
 {
-slt_server server()
+slt_server gen_server()
 {
 	slt_server s;
 
@@ -34,7 +34,7 @@
 		std::vector<slt_server> all;
 
 		for (uint32_t i = 0; i < n; i++)
-			all.push_back(server());
+			all.push_back(gen_server());
 		const auto start = *rc::gen::inRange<uint32_t>(0, n);
 		const auto avoid = *rc::gen::inRange<uint32_t>(0, 1U << n);
 		const auto i = slt_choose(all.data(), n, start, avoid);
--- a/tests/unit_flr.c
+++ b/tests/unit_flr.c
@@ -105,8 +105,8 @@
 	flr_watch_observe(watch, record, 10 * S);
 	g_assert_cmpint(flr_watch_observe(watch, empty, 20 * S), ==,
 			FS_E_STALE);
-	g_assert_false(flr_watch_settled(watch, &flr_times_default, 49 * S));
-	g_assert_true(flr_watch_settled(watch, &flr_times_default, 50 * S));
+	g_assert_false(flr_watch_may_grant(watch, &flr_times_default, 49 * S));
+	g_assert_true(flr_watch_may_grant(watch, &flr_times_default, 50 * S));
 	flr_watch_free(watch);
 	flr_record_free(empty);
 	flr_record_free(record);
--- a/tests/unit_slt.c
+++ b/tests/unit_slt.c
@@ -43,29 +43,29 @@
 	return (int64_t)(-mean * log(1.0 - g_rand_double(random))) + 1;
 }
 
-static bool any(void *arg, const struct que_item *item)
+static bool match_any(void *arg, const struct que_item *item)
 {
 	(void)arg;
 	(void)item;
 	return true;
 }
 
-static void start_waiting(struct sim *s, int64_t now_us)
+static void start_queued(struct sim *s, int64_t now_us)
 {
 	struct que_item *item;
 
-	while ((item = que_first(&s->que, any, NULL))) {
+	while ((item = que_first(&s->que, match_any, NULL))) {
 		struct job *job = (struct job *)((char *)item -
 						 offsetof(struct job, item));
 		uint32_t i = slt_choose(s->servers, SERVERS, 0, 0);
-		int64_t left_us = job->deadline_us - now_us;
+		int64_t remaining_us = job->deadline_us - now_us;
 
 		if (i == FS_NONE)
 			return;
 		que_remove(&s->que, item);
 		if (!s->naive &&
 		    slt_wait_too_long(slt_service_time(&s->route, DEADLINE_US),
-				      left_us)) {
+				      remaining_us)) {
 			s->refused++;
 			continue;
 		}
@@ -144,11 +144,11 @@
 			int64_t at_us = job->ends_us;
 
 			finish(s, job);
-			start_waiting(s, at_us);
+			start_queued(s, at_us);
 		}
 		s->jobs[i].service_us = exponential(s->random, MEAN_US);
 		arrive(s, &s->jobs[i], now_us);
-		start_waiting(s, now_us);
+		start_queued(s, now_us);
 	}
 	g_ptr_array_unref(s->running);
 	g_free(s->jobs);
