--- a/src/slt.h
+++ b/src/slt.h
@@ -82,7 +82,7 @@
 /** Load of one server when a request is to start. */
 struct slt_server {
 	uint32_t in_flight;
-	uint32_t allowed; /* by hlt_allowed(), at most its slots */
+	uint32_t allowed; /* by hlt_concurrency_limit(), at most its slots */
 	bool leaving;
 	bool last_resort; /* in use only to keep the floor */
 };
