--- a/src/slt.h
+++ b/src/slt.h
@@ -80,7 +80,7 @@
 /** What is known of one server when a request is to start. */
 struct slt_server {
 	uint32_t in_flight;
-	uint32_t allowed; /* by hlt_allowed(), at most its slots */
+	uint32_t allowed; /* by hlt_concurrency_limit(), at most its slots */
 	bool leaving;
 	bool last; /* kept for the floor: used when no other has room */
 };
