--- a/src/bal.c
+++ b/src/bal.c
@@ -4,14 +4,14 @@
 #include <string.h>
 
 /* Work slows when slots fill up: at the last slot by about a third. */
-#define CROWDING 0.3
+#define LOAD_SLOWDOWN 0.3
 /* A target that refused a request has no room until it has fewer requests than
  * then, or until this time has passed: counts of others are a little old. */
-#define FULL_US (1500 * FS_US_PER_MS)
+#define FULL_COOLDOWN_US (1500 * FS_US_PER_MS)
 /* A target with another server at its address is gone, or its entry comes. */
-#define OTHER_US (2 * FS_US_PER_S)
+#define WRONG_SERVER_COOLDOWN_US (2 * FS_US_PER_S)
 /* A target that has just started takes about twice as long. */
-#define COLD_FACTOR 2.0
+#define WARM_UP_FACTOR 2.0
 /* Costs within a tenth of each other are the same. */
 #define JITTER 0.1
 #define MEAN_DEFAULT_US (300 * FS_US_PER_MS) /* until the service is known */
@@ -19,76 +19,77 @@
  * all nodes until they hear of what the others sent there: each leaves out this
  * share of the targets at random, so that not all choose it. */
 #define SKIP_SHARE 0.8
-#define NEWS_US (300 * FS_US_PER_MS) /* until nodes hear of a send */
-#define SAMPLE_MAX 64		     /* targets looked at in one choice */
+#define PROPAGATION_US (300 * FS_US_PER_MS) /* until nodes hear of a send */
+#define SAMPLE_MAX 64 /* targets looked at in one choice */
 /* A target of another failure domain is left to the nodes there for so long. */
-#define REST_CROSS_US (1500 * FS_US_PER_MS)
+#define CROSS_DOMAIN_DELAY_US (1500 * FS_US_PER_MS)
 /* An answer that costs more than this to fetch from another failure domain is
  * left to the nodes there altogether. */
-#define REST_CROSS_MAX_US (400 * FS_US_PER_MS)
+#define CROSS_DOMAIN_TRIAL_COST_MAX_US (400 * FS_US_PER_MS)
 /* A target that is new is tried about as soon as nodes hear of each other. */
-#define NEW_MEAN_US (300 * FS_US_PER_MS)
+#define NEW_TARGET_MEAN_US (300 * FS_US_PER_MS)
 /* What a target is taken for, by its failures in a row, the chance that it
  * fails, and its time relative to the service's mean. */
-#define BAD_RUN 2
-#define BAD_FAILURE 0.6	    /* chance: one good answer does not outweigh it */
-#define SOUND_FAILURE 0.12  /* chance, little above that of any target */
-#define SLOW 3.0	    /* times the service's mean */
-#define TRIAL_SHARE_MAX 0.9 /* of requests */
-#define RATE_MIN 0.5	    /* requests a second; fewer are not measured well */
+#define FAILING_RUN 2
+#define FAILING_PROBABILITY \
+	0.6 /* chance: one good answer does not outweigh it */
+#define HEALTHY_PROBABILITY 0.12 /* chance, little above that of any target */
+#define SLOW_FACTOR 3.0		 /* times the service's mean */
+#define TRIAL_SHARE_MAX 0.9	 /* of requests */
+#define RATE_MIN 0.5 /* requests a second; fewer are not measured well */
 
 struct bal_target *bal_target_get(struct dir_target *target, int64_t now_us)
 {
-	struct bal_target *kept = target->judge;
+	struct bal_target *stats = target->user_data;
 
-	if (!kept) {
-		kept = g_new0(struct bal_target, 1);
-		gry_init(&kept->gry, now_us);
+	if (!stats) {
+		stats = g_new0(struct bal_target, 1);
+		gry_init(&stats->gry, now_us);
 		/* A node that starts knows nothing of what others send; a
 		 * target that has just started is new to all of them. */
-		kept->sent_us = target->warm_us > now_us ? INT64_MIN / 2 :
-							   now_us;
-		target->judge = kept;
+		stats->sent_us = target->warm_us > now_us ? INT64_MIN / 2 :
+							    now_us;
+		target->user_data = stats;
 	}
-	return kept;
+	return stats;
 }
 
 int64_t bal_expected_wait(const struct dir_target *target, int64_t mean_us)
 {
-	const struct bal_target *kept = target->judge;
+	const struct bal_target *stats = target->user_data;
 	int64_t slots = MAX(target->entry.slots, 1);
-	int64_t busy = kept ? (int64_t)kept->own + kept->others : 0;
+	int64_t busy = stats ? (int64_t)stats->own + stats->others : 0;
 
 	if (busy < slots)
 		return 0;
 	return (busy - slots + 1) * mean_us / slots;
 }
 
-static uint32_t busy_of(const struct bal_target *kept)
+static uint32_t in_flight_of(const struct bal_target *stats)
 {
-	return kept->own + kept->others;
+	return stats->own + stats->others;
 }
 
 void bal_note_full(struct dir_target *target, int64_t now_us)
 {
-	struct bal_target *kept = bal_target_get(target, now_us);
+	struct bal_target *stats = bal_target_get(target, now_us);
 
-	kept->full_at = MAX(busy_of(kept), target->entry.slots);
+	stats->full_at = MAX(in_flight_of(stats), target->entry.slots);
 }
 
 static bool is_full(const struct dir_target *target, int64_t now_us)
 {
-	const struct bal_target *kept = target->judge;
+	const struct bal_target *stats = target->user_data;
 
-	return kept && now_us - kept->gry.full_us < FULL_US &&
-	       busy_of(kept) >= kept->full_at;
+	return stats && now_us - stats->gry.full_us < FULL_COOLDOWN_US &&
+	       in_flight_of(stats) >= stats->full_at;
 }
 
-static bool is_avoided(const struct bal_query *wish,
+static bool is_avoided(const struct bal_query *query,
 		       const struct dir_target *target)
 {
-	for (uint32_t i = 0; i < wish->avoid_count; i++) {
-		if (wish->avoid[i] == target)
+	for (uint32_t i = 0; i < query->avoid_count; i++) {
+		if (query->avoid[i] == target)
 			return true;
 	}
 	return false;
@@ -104,44 +105,45 @@
 }
 
 static double work_us(const struct dir_target *target,
-		      const struct bal_target *kept, double mean_us,
+		      const struct bal_target *stats, double mean_us,
 		      int64_t now_us)
 {
 	double slots = MAX(target->entry.slots, 1);
-	double busy = kept->own + kept->others;
-	double us = mean_us * gry_slowness(&kept->gry, now_us) *
-		    (1.0 + CROWDING * MIN(busy / slots, 1.0));
+	double busy = stats->own + stats->others;
+	double us = mean_us * gry_slowness(&stats->gry, now_us) *
+		    (1.0 + LOAD_SLOWDOWN * MIN(busy / slots, 1.0));
 
-	return target->warm_us > now_us ? us * COLD_FACTOR : us;
+	return target->warm_us > now_us ? us * WARM_UP_FACTOR : us;
 }
 
-static double cost_of(struct dir_target *target, const struct bal_query *wish,
+static double cost_of(struct dir_target *target, const struct bal_query *query,
 		      struct bal_choice *out)
 {
-	struct bal_target *kept = bal_target_get(target, wish->now_us);
-	int64_t mean_us = wish->mean_us ? wish->mean_us : MEAN_DEFAULT_US;
-	double us = work_us(target, kept, (double)mean_us, wish->now_us);
+	struct bal_target *stats = bal_target_get(target, query->now_us);
+	int64_t mean_us = query->mean_us ? query->mean_us : MEAN_DEFAULT_US;
+	double us = work_us(target, stats, (double)mean_us, query->now_us);
 
 	out->wait_us = bal_expected_wait(target, mean_us);
-	out->failure = gry_failure_probability(&kept->gry, wish->now_us);
-	us += (double)out->wait_us * gry_slowness(&kept->gry, wish->now_us);
-	us += out->failure * (double)wish->failure_us;
-	if (strcmp(target->entry.domain, wish->domain) != 0)
-		us += (double)wish->cross_us;
+	out->failure = gry_failure_probability(&stats->gry, query->now_us);
+	us += (double)out->wait_us * gry_slowness(&stats->gry, query->now_us);
+	us += out->failure * (double)query->failure_cost_us;
+	if (strcmp(target->entry.domain, query->domain) != 0)
+		us += (double)query->cross_domain_cost_us;
 	return us;
 }
 
-static bool may_take(const struct dir_target *target,
-		     const struct bal_query *wish)
+static bool is_eligible(const struct dir_target *target,
+			const struct bal_query *query)
 {
-	const struct bal_target *kept = target->judge;
+	const struct bal_target *stats = target->user_data;
 
-	return !target->entry.leaving && !is_avoided(wish, target) &&
-	       (!kept || wish->now_us - kept->gry.other_us >= OTHER_US);
+	return !target->entry.leaving && !is_avoided(query, target) &&
+	       (!stats || query->now_us - stats->gry.wrong_server_us >=
+				  WRONG_SERVER_COOLDOWN_US);
 }
 
 /** How long a target may get nothing. */
-struct rest {
+struct trial_schedule {
 	int64_t idle_us; /* since the last send, or failure: not due before */
 	int64_t mean_us; /* then, the mean time until one of all nodes sends */
 };
@@ -149,7 +151,7 @@
 /* Faults may leave any few targets of a service sound, so each one that may be
  * sound has to get a request within two seconds, the age of the news of other
  * nodes included. */
-static const struct rest rest_sound = {
+static const struct trial_schedule schedule_healthy = {
 	800 * FS_US_PER_MS,
 	400 * FS_US_PER_MS,
 };
@@ -157,7 +159,7 @@
 /* Of the targets that failed once, one in three fails the next request as well,
  * whenever it comes; so does one in three of those whose last request went well
  * after several failures. */
-static const struct rest rest_doubtful = {
+static const struct trial_schedule schedule_degraded = {
 	1200 * FS_US_PER_MS,
 	500 * FS_US_PER_MS,
 };
@@ -165,82 +167,89 @@
 /* Of those that failed twice in a row two in three go on failing. A spell may
  * have ended with the last failure, and then the target is sound two seconds
  * later: it has to be found out within the two seconds that follow. */
-static const struct rest rest_bad = {
+static const struct trial_schedule schedule_failing = {
 	2900 * FS_US_PER_MS,
 	500 * FS_US_PER_MS,
 };
 
 /* The same for requests that are lost if they fail: spells are longer than that,
  * and most tries would cost a caller its request. */
-static const struct rest rest_bad_once = {
+static const struct trial_schedule schedule_failing_no_retry = {
 	4500 * FS_US_PER_MS,
 	1000 * FS_US_PER_MS,
 };
 
 /* Most work there misses its objective. Slow spells last longer. */
-static const struct rest rest_slow = {
+static const struct trial_schedule schedule_slow = {
 	5000 * FS_US_PER_MS,
 	1200 * FS_US_PER_MS,
 };
 
 /* Most failures come at once: a request that was sent after the last one, and has
  * not failed since, goes well or hangs. */
-static bool is_trial_under_way(const struct bal_target *kept, int64_t now_us)
+static bool is_trial_under_way(const struct bal_target *stats, int64_t now_us)
 {
-	return kept->sent_us > kept->gry.failed_us &&
-	       now_us - kept->sent_us > NEWS_US;
+	return stats->sent_us > stats->gry.failed_us &&
+	       now_us - stats->sent_us > PROPAGATION_US;
 }
 
-static const struct rest *rest_of(const struct bal_target *kept,
-				  const struct bal_query *wish)
+static const struct trial_schedule *schedule_of(const struct bal_target *stats,
+						const struct bal_query *query)
 {
-	const struct gry *gry = &kept->gry;
-	double slowness = gry_slowness(gry, wish->now_us);
-	double failure = gry_failure_probability(gry, wish->now_us);
-
-	if (slowness >= SLOW)
-		return &rest_slow;
-	if (!wish->repeatable && failure > BAD_FAILURE)
-		return &rest_bad_once;
-	if (gry->failed_run >= BAD_RUN &&
-	    !is_trial_under_way(kept, wish->now_us))
-		return wish->repeatable ? &rest_bad : &rest_bad_once;
-	if (gry->failed_run || slowness > 1.0 || failure > SOUND_FAILURE)
-		return &rest_doubtful;
-	return &rest_sound;
+	const struct gry *gry = &stats->gry;
+	double slowness = gry_slowness(gry, query->now_us);
+	double failure = gry_failure_probability(gry, query->now_us);
+
+	if (slowness >= SLOW_FACTOR)
+		return &schedule_slow;
+	if (!query->repeatable && failure > FAILING_PROBABILITY)
+		return &schedule_failing_no_retry;
+	if (gry->consecutive_failures >= FAILING_RUN &&
+	    !is_trial_under_way(stats, query->now_us))
+		return query->repeatable ? &schedule_failing :
+					   &schedule_failing_no_retry;
+	if (gry->consecutive_failures || slowness > 1.0 ||
+	    failure > HEALTHY_PROBABILITY)
+		return &schedule_degraded;
+	return &schedule_healthy;
 }
 
 /* Returns the share of this node's requests that should go to a target because
  * it is due; 0 if it is not. A doubtful target gets less at a time, so that work
  * which hangs there does not pile up. */
-static double due_share(struct dir_target *target, const struct bal_query *wish)
+static double due_share(struct dir_target *target,
+			const struct bal_query *query)
 {
-	const struct bal_target *kept = bal_target_get(target, wish->now_us);
-	const struct rest *rest = rest_of(kept, wish);
-	bool doubtful = rest != &rest_sound;
-	bool far = strcmp(target->entry.domain, wish->domain) != 0;
-	double share = far ? 1.0 - wish->domain_share : wish->domain_share;
-	int64_t last_us = kept->sent_us;
-
-	if (!may_take(target, wish) || is_full(target, wish->now_us) ||
-	    busy_of(kept) >= (doubtful ? MAX(target->entry.slots / 2, 1) :
-					 MAX(target->entry.slots, 1)) ||
-	    (far && wish->cross_us > REST_CROSS_MAX_US))
+	const struct bal_target *stats = bal_target_get(target, query->now_us);
+	const struct trial_schedule *schedule = schedule_of(stats, query);
+	bool degraded = schedule != &schedule_healthy;
+	bool other_domain = strcmp(target->entry.domain, query->domain) != 0;
+	double share = other_domain ? 1.0 - query->domain_share :
+				      query->domain_share;
+	int64_t last_us = stats->sent_us;
+
+	if (!is_eligible(target, query) || is_full(target, query->now_us) ||
+	    in_flight_of(stats) >= (degraded ? MAX(target->entry.slots / 2, 1) :
+					       MAX(target->entry.slots, 1)) ||
+	    (other_domain &&
+	     query->cross_domain_cost_us > CROSS_DOMAIN_TRIAL_COST_MAX_US))
 		return 0;
-	if (doubtful)
-		last_us = MAX(last_us, kept->gry.failed_us);
-	if (wish->now_us - last_us < rest->idle_us + (far ? REST_CROSS_US : 0))
+	if (degraded)
+		last_us = MAX(last_us, stats->gry.failed_us);
+	if (query->now_us - last_us <
+	    schedule->idle_us + (other_domain ? CROSS_DOMAIN_DELAY_US : 0))
 		return 0;
 	return FS_US_PER_S /
-	       (double)(kept->gry.known ? rest->mean_us : NEW_MEAN_US) /
-	       MAX(wish->rate * share, RATE_MIN);
+	       (double)(stats->gry.has_outcome ? schedule->mean_us :
+						 NEW_TARGET_MEAN_US) /
+	       MAX(query->rate * share, RATE_MIN);
 }
 
 /* Returns a target that is due, or NULL. All nodes together send to due targets
  * at the rate that is wanted; which target is left to chance, so that nodes that
  * do not know of each other yet seldom meet. */
 static struct dir_target *choose_due(const struct dir_service *service,
-				     const struct bal_query *wish,
+				     const struct bal_query *query,
 				     uint64_t *random)
 {
 	struct dir_target *chosen = NULL;
@@ -249,7 +258,7 @@
 	for (uint32_t i = 0; i < service->targets->len; i++) {
 		struct dir_target *target =
 			g_ptr_array_index(service->targets, i);
-		double share = due_share(target, wish);
+		double share = due_share(target, query);
 
 		if (share <= 0)
 			continue;
@@ -263,40 +272,41 @@
 /* Returns the share of targets to leave out. Nothing, while the slots that are
  * free hold what all nodes send until they hear of each other. */
 static double skip_share(const struct dir_service *service,
-			 const struct bal_query *wish)
+			 const struct bal_query *query)
 {
-	double unheard = wish->rate * (double)NEWS_US / FS_US_PER_S;
-	double room = 0;
+	double unreported = query->rate * (double)PROPAGATION_US / FS_US_PER_S;
+	double free_slots = 0;
 	uint32_t usable = 0;
 	uint32_t saturated = 0;
 
 	for (uint32_t i = 0; i < service->targets->len; i++) {
 		struct dir_target *target =
 			g_ptr_array_index(service->targets, i);
-		const struct bal_target *kept =
-			bal_target_get(target, wish->now_us);
+		const struct bal_target *stats =
+			bal_target_get(target, query->now_us);
 		uint32_t slots = target->entry.slots;
 
-		if (!may_take(target, wish) ||
-		    gry_is_suspected(&kept->gry, wish->now_us))
+		if (!is_eligible(target, query) ||
+		    gry_is_suspected(&stats->gry, query->now_us))
 			continue;
 		usable++;
-		saturated += busy_of(kept) >= slots;
-		room += slots - MIN(busy_of(kept), slots);
+		saturated += in_flight_of(stats) >= slots;
+		free_slots += slots - MIN(in_flight_of(stats), slots);
 	}
-	if (!usable || room >= unheard)
+	if (!usable || free_slots >= unreported)
 		return 0.0;
-	return SKIP_SHARE * saturated / usable * (1.0 - room / unheard);
+	return SKIP_SHARE * saturated / usable *
+	       (1.0 - free_slots / unreported);
 }
 
 /* Returns the cheapest target, each one left out with the chance @p skip. */
 static struct bal_choice choose_cheapest(const struct dir_service *service,
-					 const struct bal_query *wish,
+					 const struct bal_query *query,
 					 double skip, uint64_t *random)
 {
 	struct bal_choice best = {0};
 	uint32_t count = service->targets->len;
-	uint32_t start = (uint32_t)(wish->random % count);
+	uint32_t start = (uint32_t)(query->random % count);
 	double best_us = 0;
 
 	for (uint32_t i = 0; i < MIN(count, SAMPLE_MAX); i++) {
@@ -305,16 +315,16 @@
 		struct bal_choice one = {.target = target};
 		double us;
 
-		if (!may_take(target, wish))
+		if (!is_eligible(target, query))
 			continue;
-		if (is_full(target, wish->now_us)) {
+		if (is_full(target, query->now_us)) {
 			best.full++;
 			continue;
 		}
 		best.usable++;
 		if (skip > 0 && next_random(random) < skip)
 			continue;
-		us = cost_of(target, wish, &one) *
+		us = cost_of(target, query, &one) *
 		     (1.0 + JITTER * next_random(random));
 		if (best.target && us >= best_us)
 			continue;
@@ -328,27 +338,27 @@
 }
 
 struct bal_choice bal_choose(const struct dir_service *service,
-			     const struct bal_query *wish)
+			     const struct bal_query *query)
 {
 	struct bal_choice best = {0};
-	uint64_t random = wish->random | 1;
+	uint64_t random = query->random | 1;
 	struct dir_target *due;
 	double skip;
 
 	if (!service || !service->targets->len)
 		return best;
-	skip = skip_share(service, wish);
-	best = choose_cheapest(service, wish, skip, &random);
+	skip = skip_share(service, query);
+	best = choose_cheapest(service, query, skip, &random);
 	if (!best.target && best.usable)
-		best = choose_cheapest(service, wish, 0.0, &random);
-	due = choose_due(service, wish, &random);
+		best = choose_cheapest(service, query, 0.0, &random);
+	due = choose_due(service, query, &random);
 	if (due)
 		best = (struct bal_choice){
 			.target = due,
 			.usable = best.usable,
 			.full = best.full,
 			.failure = gry_failure_probability(
-				&bal_target_get(due, 0)->gry, wish->now_us),
+				&bal_target_get(due, 0)->gry, query->now_us),
 		};
 	return best;
 }
--- a/src/bal.h
+++ b/src/bal.h
@@ -33,10 +33,10 @@
 
 /** What is asked for. */
 struct bal_query {
-	const char *domain; /* failure domain of this node */
-	int64_t mean_us;    /* mean time of the service's work */
-	int64_t failure_us; /* what a failure costs, as time */
-	int64_t cross_us;   /* what another failure domain costs, as time */
+	const char *domain;	 /* failure domain of this node */
+	int64_t mean_us;	 /* mean time of the service's work */
+	int64_t failure_cost_us; /* what a failure costs, as time */
+	int64_t cross_domain_cost_us; /* what another failure domain costs, as time */
 	const struct dir_target *const *avoid; /* targets tried before */
 	uint32_t avoid_count;
 	bool repeatable;     /* a failure costs another send, not the request */
@@ -64,7 +64,7 @@
 
 /** Chooses among the targets of a service; NULL is allowed. */
 struct bal_choice bal_choose(const struct dir_service *service,
-			     const struct bal_query *wish);
+			     const struct bal_query *query);
 
 /** Returns the expected wait for a slot at a target. */
 int64_t bal_expected_wait(const struct dir_target *target, int64_t mean_us);
--- a/src/dir.c
+++ b/src/dir.c
@@ -4,19 +4,19 @@
 #include <xxhash.h>
 
 /** A removal that is remembered. */
-struct removed {
+struct tombstone {
 	uint64_t rev;
 	int64_t at_us;
 };
 
 struct dir {
-	GHashTable *by_id;    /* id to struct dir_target, referenced */
-	GHashTable *by_hash;  /* hash to the same */
-	GHashTable *services; /* name to struct dir_service */
-	GHashTable *removed;  /* id to struct removed */
+	GHashTable *by_id;	/* id to struct dir_target, referenced */
+	GHashTable *by_hash;	/* hash to the same */
+	GHashTable *services;	/* name to struct dir_service */
+	GHashTable *tombstones; /* id to struct removed */
 	GDestroyNotify free_user_data;
-	dir_removed_fn on_gone;
-	void *on_gone_arg;
+	dir_removed_fn on_removed;
+	void *on_removed_arg;
 	uint64_t digest;
 };
 
@@ -37,7 +37,7 @@
 	dir->by_hash = g_hash_table_new(NULL, NULL);
 	dir->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					      service_free);
-	dir->removed =
+	dir->tombstones =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	dir->free_user_data = free_user_data;
 	return dir;
@@ -45,8 +45,8 @@
 
 void dir_on_removed(struct dir *dir, dir_removed_fn fn, void *arg)
 {
-	dir->on_gone = fn;
-	dir->on_gone_arg = arg;
+	dir->on_removed = fn;
+	dir->on_removed_arg = arg;
 }
 
 struct dir_target *dir_target_ref(struct dir_target *target)
@@ -63,12 +63,12 @@
 
 /* Targets that are still referenced outlive the directory, without a judge;
  * the directory's own reference is the caller's to give back. */
-static void retire(struct dir *dir, struct dir_target *target)
+static void invalidate(struct dir *dir, struct dir_target *target)
 {
-	target->gone = true;
-	if (dir->free_user_data && target->judge)
-		dir->free_user_data(target->judge);
-	target->judge = NULL;
+	target->removed_from_dir = true;
+	if (dir->free_user_data && target->user_data)
+		dir->free_user_data(target->user_data);
+	target->user_data = NULL;
 }
 
 void dir_free(struct dir *dir)
@@ -81,12 +81,12 @@
 	g_hash_table_unref(dir->services);
 	g_hash_table_iter_init(&iter, dir->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &target)) {
-		retire(dir, target);
+		invalidate(dir, target);
 		dir_target_unref(target);
 	}
 	g_hash_table_unref(dir->by_id);
 	g_hash_table_unref(dir->by_hash);
-	g_hash_table_unref(dir->removed);
+	g_hash_table_unref(dir->tombstones);
 	g_free(dir);
 }
 
@@ -156,20 +156,20 @@
 	if (dir_target_by_hash(dir, target->hash) == target)
 		g_hash_table_remove(dir->by_hash,
 				    GUINT_TO_POINTER(target->hash));
-	retire(dir, target);
+	invalidate(dir, target);
 }
 
 static bool put_new(struct dir *dir, const struct dir_entry *entry,
 		    int64_t now_us)
 {
-	const struct removed *removed =
-		g_hash_table_lookup(dir->removed, entry->id);
+	const struct tombstone *tombstone =
+		g_hash_table_lookup(dir->tombstones, entry->id);
 	struct dir_target *target;
 
-	if ((removed && removed->rev >= entry->rev) ||
+	if ((tombstone && tombstone->rev >= entry->rev) ||
 	    g_hash_table_size(dir->by_id) >= DIR_TARGETS_MAX)
 		return false;
-	g_hash_table_remove(dir->removed, entry->id);
+	g_hash_table_remove(dir->tombstones, entry->id);
 	target = g_new0(struct dir_target, 1);
 	target->refs = 1;
 	target->entry = *entry;
@@ -182,7 +182,8 @@
 }
 
 /* Another start or another service is another target. */
-static bool is_other(const struct dir_entry *a, const struct dir_entry *b)
+static bool is_other_instance(const struct dir_entry *a,
+			      const struct dir_entry *b)
 {
 	return a->born != b->born || strcmp(a->service, b->service) != 0 ||
 	       strcmp(a->address, b->address) != 0;
@@ -199,7 +200,7 @@
 		return false;
 	target->listed = true;
 	target->missing_us = 0;
-	if (is_other(entry, &target->entry)) {
+	if (is_other_instance(entry, &target->entry)) {
 		detach(dir, target);
 		dir_target_unref(target);
 		return put_new(dir, entry, now_us);
@@ -211,24 +212,24 @@
 	return before != content_hash(entry);
 }
 
-static void remember(struct dir *dir, const char *id, uint64_t rev,
-		     int64_t now_us)
+static void add_tombstone(struct dir *dir, const char *id, uint64_t rev,
+			  int64_t now_us)
 {
-	struct removed *removed = g_new0(struct removed, 1);
+	struct tombstone *tombstone = g_new0(struct tombstone, 1);
 
-	removed->rev = rev;
-	removed->at_us = now_us;
-	g_hash_table_replace(dir->removed, g_strdup(id), removed);
+	tombstone->rev = rev;
+	tombstone->at_us = now_us;
+	g_hash_table_replace(dir->tombstones, g_strdup(id), tombstone);
 }
 
 /* Drops a target and tells of it. */
-static void drop_gone(struct dir *dir, struct dir_target *target, uint64_t rev,
-		      int64_t now_us)
+static void remove_and_notify(struct dir *dir, struct dir_target *target,
+			      uint64_t rev, int64_t now_us)
 {
-	remember(dir, target->entry.id, rev, now_us);
+	add_tombstone(dir, target->entry.id, rev, now_us);
 	detach(dir, target);
-	if (dir->on_gone)
-		dir->on_gone(dir->on_gone_arg, target, rev);
+	if (dir->on_removed)
+		dir->on_removed(dir->on_removed_arg, target, rev);
 	dir_target_unref(target);
 }
 
@@ -236,12 +237,12 @@
 		int64_t grace_until_us, int64_t now_us)
 {
 	struct dir_target *target = dir_target_find(dir, id);
-	const struct removed *removed;
+	const struct tombstone *tombstone;
 
 	if (!target) {
-		removed = g_hash_table_lookup(dir->removed, id);
-		if (!removed || removed->rev < rev)
-			remember(dir, id, rev, now_us);
+		tombstone = g_hash_table_lookup(dir->tombstones, id);
+		if (!tombstone || tombstone->rev < rev)
+			add_tombstone(dir, id, rev, now_us);
 		return;
 	}
 	if (target->entry.rev > rev)
@@ -251,7 +252,7 @@
 			target->missing_us = grace_until_us;
 		return;
 	}
-	drop_gone(dir, target, rev, now_us);
+	remove_and_notify(dir, target, rev, now_us);
 }
 
 void dir_list_begin(struct dir *dir)
@@ -278,12 +279,12 @@
 	}
 }
 
-static gboolean is_forgotten(void *id, void *value, void *now)
+static gboolean is_expired(void *id, void *value, void *now)
 {
-	const struct removed *removed = value;
+	const struct tombstone *tombstone = value;
 
 	(void)id;
-	return *(int64_t *)now - removed->at_us > DIR_TOMBSTONE_RETENTION_US;
+	return *(int64_t *)now - tombstone->at_us > DIR_TOMBSTONE_RETENTION_US;
 }
 
 void dir_tick(struct dir *dir, int64_t now_us)
@@ -294,9 +295,10 @@
 		struct dir_target *target = l->data;
 
 		if (target->missing_us && target->missing_us <= now_us)
-			drop_gone(dir, target, target->entry.rev, now_us);
+			remove_and_notify(dir, target, target->entry.rev,
+					  now_us);
 	}
-	g_hash_table_foreach_remove(dir->removed, is_forgotten, &now_us);
+	g_hash_table_foreach_remove(dir->tombstones, is_expired, &now_us);
 }
 
 uint64_t dir_digest(const struct dir *dir)
@@ -321,11 +323,11 @@
 {
 	GHashTableIter iter;
 	void *id;
-	void *removed;
+	void *tombstone;
 
-	g_hash_table_iter_init(&iter, dir->removed);
-	while (g_hash_table_iter_next(&iter, &id, &removed))
-		fn(arg, id, ((struct removed *)removed)->rev);
+	g_hash_table_iter_init(&iter, dir->tombstones);
+	while (g_hash_table_iter_next(&iter, &id, &tombstone))
+		fn(arg, id, ((struct tombstone *)tombstone)->rev);
 }
 
 uint32_t dir_count(const struct dir *dir)
--- a/src/dir.h
+++ b/src/dir.h
@@ -43,12 +43,12 @@
 	int refs;
 	uint32_t hash; /* of id and start; names it in messages */
 	struct dir_entry entry;
-	int64_t warm_us;    /* it is slow until then */
-	int64_t missing_us; /* removed within a grace time that ends then */
-	int64_t joined_us;  /* when this directory learned of it */
-	bool listed;	    /* seen by the list being read */
-	bool gone;	    /* no longer in the directory */
-	void *judge; /* what its user keeps of it, freed by free_user_data */
+	int64_t warm_us;       /* it is slow until then */
+	int64_t missing_us;    /* removed within a grace time that ends then */
+	int64_t joined_us;     /* when this directory learned of it */
+	bool listed;	       /* seen by the list being read */
+	bool removed_from_dir; /* no longer in the directory */
+	void *user_data; /* what its user keeps of it, freed by free_user_data */
 };
 
 /** All targets of one service. */
--- a/src/gry.h
+++ b/src/gry.h
@@ -33,15 +33,15 @@
 
 /** State of one target. */
 struct gry {
-	bool known;	     /* there was an outcome */
-	double odds;	     /* natural logarithm; above what holds for any */
-	double slowness;     /* time to answer relative to the service's mean */
-	int64_t updated_us;  /* when odds were right */
-	int64_t failed_us;   /* last outcome against the target */
-	uint32_t failed_run; /* outcomes against it since the last good one */
-	int64_t timed_us;    /* when slowness was */
-	int64_t full_us;     /* last refused for lack of room */
-	int64_t other_us;    /* last found to be another server */
+	bool has_outcome;   /* there was an outcome */
+	double log_odds;    /* natural logarithm; above what holds for any */
+	double slowness;    /* time to answer relative to the service's mean */
+	int64_t updated_us; /* when odds were right */
+	int64_t failed_us;  /* last outcome against the target */
+	uint32_t consecutive_failures; /* outcomes against it since the last good one */
+	int64_t slowness_updated_us; /* when slowness was */
+	int64_t full_us;	     /* last refused for lack of room */
+	int64_t wrong_server_us;     /* last found to be another server */
 };
 
 void gry_init(struct gry *gry, int64_t now_us);
--- a/src/gwy_choose.c
+++ b/src/gwy_choose.c
@@ -57,10 +57,11 @@
 	struct bal_query wish = {
 		.domain = gwy->node->set.domain,
 		.mean_us = lod_mean(gwy->lod, service),
-		.failure_us = objective_us * (gwy_route_of(req)->repeatable ?
-						      FAILURE_REPEATABLE :
-						      FAILURE_ONCE),
-		.cross_us =
+		.failure_cost_us =
+			objective_us * (gwy_route_of(req)->repeatable ?
+						FAILURE_REPEATABLE :
+						FAILURE_ONCE),
+		.cross_domain_cost_us =
 			CROSS_US + CROSS_BYTE_US * gwy_answer_mean_bytes(req),
 		.repeatable = gwy_route_of(req)->repeatable,
 		.avoid = avoid,
@@ -75,7 +76,7 @@
 	if (!choice.target || !gwy_choose_too_long(req, choice.wait_us, now_us))
 		return choice;
 	/* Waiting there would be for nothing: a doubtful target is better. */
-	wish.failure_us = 0;
-	wish.cross_us = 0;
+	wish.failure_cost_us = 0;
+	wish.cross_domain_cost_us = 0;
 	return bal_choose(targets, &wish);
 }
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -53,7 +53,7 @@
 {
 	const struct bud_rule *rule = &req->gwy->budget_rule;
 
-	if (t->target->gone ||
+	if (t->target->removed_from_dir ||
 	    gry_failure_probability(&bal_target_get(t->target, now_us)->gry,
 				    now_us) >= HEDGE_FAILURE)
 		return true;
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -51,7 +51,7 @@
 		return;
 	t->held = false;
 	t->req->running--;
-	if (t->target->gone)
+	if (t->target->removed_from_dir)
 		return;
 	bal_target_get(t->target, t->started_us)->own--;
 	lod_change(t->req->gwy->lod, t->target);
--- a/src/hlt.c
+++ b/src/hlt.c
@@ -3,7 +3,7 @@
 #include "hlt_rules.h"
 #include "hlt_state.h"
 
-#define PATH_US (30 * FS_US_PER_S) /* a path check holds so long */
+#define PATH_CHECK_TTL_US (30 * FS_US_PER_S) /* a path check holds so long */
 
 static void init_server(struct hlt_shard *shard, uint32_t i, const char *name,
 			int64_t now_us)
@@ -12,11 +12,12 @@
 
 	g_strlcpy(server->name, name, sizeof(server->name));
 	hlt_window_init(&server->window, shard->params->window_us, now_us);
-	server->flights = g_array_new(FALSE, TRUE, sizeof(struct hlt_inflight));
+	server->inflight =
+		g_array_new(FALSE, TRUE, sizeof(struct hlt_inflight));
 	server->last_good_us = now_us;
 	server->last_bad_us = now_us;
 	server->rule = AUD_RULE_COUNT;
-	server->refused = AUD_RULE_COUNT;
+	server->refusal_recorded = AUD_RULE_COUNT;
 }
 
 /* Where the shard stands among the servers of its service and region. */
@@ -64,21 +65,21 @@
 	if (!shard)
 		return;
 	for (uint32_t i = 0; i < shard->count; i++)
-		g_array_unref(shard->servers[i].flights);
+		g_array_unref(shard->servers[i].inflight);
 	g_free(shard);
 }
 
 static void adopt_server(struct hlt_server *server,
 			 const struct hlt_server *old, int64_t window_us)
 {
-	GArray *flights = server->flights;
+	GArray *inflight = server->inflight;
 	int64_t now_us = server->last_good_us;
 
 	*server = *old;
-	server->flights = flights;
-	if (old->flights->len)
-		g_array_append_vals(flights, old->flights->data,
-				    old->flights->len);
+	server->inflight = inflight;
+	if (old->inflight->len)
+		g_array_append_vals(inflight, old->inflight->data,
+				    old->inflight->len);
 	if (old->window.step_us != window_us / HLT_WINDOW_BUCKETS)
 		hlt_window_init(&server->window, window_us, now_us);
 }
@@ -94,8 +95,8 @@
 	shard->token = MAX(shard->token, old->token);
 	shard->lat = old->lat;
 	shard->confirmed_us = old->confirmed_us;
-	shard->region_out = old->region_out;
-	shard->dependency_sick = old->dependency_sick;
+	shard->region_ejected = old->region_ejected;
+	shard->dependency_unhealthy = old->dependency_unhealthy;
 	for (uint32_t i = 0; i < shard->count; i++) {
 		for (uint32_t j = 0; j < old->count; j++) {
 			if (!strcmp(shard->servers[i].name,
@@ -107,24 +108,24 @@
 	}
 }
 
-static void begin_ejected(struct hlt_server *server, int64_t now_us)
+static void start_ejection(struct hlt_server *server, int64_t now_us)
 {
 	server->ejected_us = now_us;
-	server->told_us = 0;
+	server->request_recorded_us = 0;
 	server->good_run = 0;
 	server->ejections = MAX(server->ejections, 1);
-	if (server->judged == HLT_HEALTHY) {
-		server->sick_us = now_us;
+	if (server->evidence_level == HLT_HEALTHY) {
+		server->unhealthy_since_us = now_us;
 		server->last_bad_us = now_us;
 		server->rule = AUD_R_STEER_ERRORS;
 	}
-	server->judged = HLT_TRIAL;
+	server->evidence_level = HLT_TRIAL;
 }
 
 /* A server that has earned its return starts slowly; one whose record lapsed
  * or was trimmed stays on trial. */
-static void end_ejected(struct hlt_shard *shard, struct hlt_server *server,
-			int64_t now_us)
+static void end_ejection(struct hlt_shard *shard, struct hlt_server *server,
+			 int64_t now_us)
 {
 	int64_t from_us = MAX(server->last_bad_us, server->ejected_us);
 
@@ -132,7 +133,7 @@
 				now_us - from_us, server->ejections,
 				server->reachable))
 		return;
-	server->judged = HLT_HEALTHY;
+	server->evidence_level = HLT_HEALTHY;
 	server->rule = AUD_RULE_COUNT;
 	server->cleared_us = now_us;
 	server->has_cleared = true;
@@ -150,9 +151,9 @@
 		return;
 	server->ejected = ejected;
 	if (ejected)
-		begin_ejected(server, now_us);
+		start_ejection(server, now_us);
 	else
-		end_ejected(shard, server, now_us);
+		end_ejection(shard, server, now_us);
 }
 
 void hlt_set_ejected(struct hlt_shard *shard, uint32_t i, bool ejected,
@@ -164,7 +165,7 @@
 	set_ejected(shard, i, ejected, now_us);
 	for (uint32_t j = 0; j < shard->count; j++)
 		out += shard->servers[j].ejected;
-	shard->region_out = out;
+	shard->region_ejected = out;
 }
 
 static int64_t count_enforced(const struct flr_record *record,
@@ -195,7 +196,7 @@
 	    !flr_confirmed(&flr_times_default, confirmed_us, now_us))
 		record = NULL;
 	shard->confirmed_us = confirmed_us;
-	shard->region_out = count_enforced(record, &scope);
+	shard->region_ejected = count_enforced(record, &scope);
 	for (uint32_t i = 0; i < shard->count; i++) {
 		struct hlt_server *server = &shard->servers[i];
 		const struct flr_entry *entry =
@@ -212,7 +213,7 @@
 {
 	if (flr_confirmed(&flr_times_default, shard->confirmed_us, now_us))
 		return;
-	shard->region_out = 0;
+	shard->region_ejected = 0;
 	for (uint32_t i = 0; i < shard->count; i++)
 		set_ejected(shard, i, false, now_us);
 }
@@ -220,12 +221,13 @@
 void hlt_set_reached_by_others(struct hlt_shard *shard, uint32_t i,
 			       bool others_reach, int64_t now_us)
 {
-	shard->servers[i].path_until_us = others_reach ? now_us + PATH_US : 0;
+	shard->servers[i].path_until_us =
+		others_reach ? now_us + PATH_CHECK_TTL_US : 0;
 }
 
 void hlt_set_dependency_unhealthy(struct hlt_shard *shard, bool sick)
 {
-	shard->dependency_sick = sick;
+	shard->dependency_unhealthy = sick;
 }
 
 enum hlt_level hlt_level(const struct hlt_shard *shard, uint32_t i)
@@ -234,7 +236,8 @@
 
 	if (server->ejected)
 		return HLT_EJECTED;
-	return server->given_back ? HLT_HEALTHY : server->judged;
+	return server->retained_for_floor ? HLT_HEALTHY :
+					    server->evidence_level;
 }
 
 static uint32_t ramped_slots(const struct hlt_shard *shard,
@@ -261,8 +264,9 @@
 			       bool repeatable, int64_t now_us)
 {
 	const struct hlt_server *server = &shard->servers[i];
-	enum hlt_level level = server->given_back ? HLT_HEALTHY :
-						    server->judged;
+	enum hlt_level level = server->retained_for_floor ?
+				       HLT_HEALTHY :
+				       server->evidence_level;
 
 	if (is_ejected_now(shard, server, now_us))
 		level = HLT_EJECTED;
--- a/src/hlt_floor.c
+++ b/src/hlt_floor.c
@@ -4,13 +4,13 @@
 int64_t hlt_shard_headroom(const struct hlt_shard *shard)
 {
 	return hlt_steering_headroom(shard->first, shard->count,
-				     shard->region_count, shard->region_out,
+				     shard->region_count, shard->region_ejected,
 				     shard->region_floor);
 }
 
 static bool is_steered(const struct hlt_server *server)
 {
-	return !server->ejected && server->judged != HLT_HEALTHY;
+	return !server->ejected && server->evidence_level != HLT_HEALTHY;
 }
 
 /* Whether @p a is worse off than @p b: it is kept away from work first. */
@@ -19,13 +19,13 @@
 	bool a_hard = hlt_rule_is_hard(a->rule);
 	bool b_hard = hlt_rule_is_hard(b->rule);
 
-	if (a->given_back != b->given_back)
-		return b->given_back;
+	if (a->retained_for_floor != b->retained_for_floor)
+		return b->retained_for_floor;
 	if (a_hard != b_hard)
 		return a_hard;
-	if (a->judged != b->judged)
-		return a->judged > b->judged;
-	return a->sick_us < b->sick_us;
+	if (a->evidence_level != b->evidence_level)
+		return a->evidence_level > b->evidence_level;
+	return a->unhealthy_since_us < b->unhealthy_since_us;
 }
 
 static int64_t rank_of(const struct hlt_shard *shard, uint32_t i)
@@ -44,8 +44,8 @@
 	return rank;
 }
 
-static void record_given_back(const struct hlt_shard *shard, uint32_t i,
-			      int64_t steered, struct aud *aud, int64_t now_us)
+static void record_retained(const struct hlt_shard *shard, uint32_t i,
+			    int64_t steered, struct aud *aud, int64_t now_us)
 {
 	struct aud_record rec;
 
@@ -57,7 +57,7 @@
 	aud_add(&rec, "first", shard->first);
 	aud_add(&rec, "servers", shard->count);
 	aud_add(&rec, "count", shard->region_count);
-	aud_add(&rec, "out", shard->region_out);
+	aud_add(&rec, "out", shard->region_ejected);
 	aud_add(&rec, "floor", shard->region_floor);
 	aud_emit(aud, &rec);
 }
@@ -65,7 +65,7 @@
 void hlt_limit_steering(struct hlt_shard *shard, struct aud *aud,
 			int64_t now_us)
 {
-	int64_t room = hlt_shard_headroom(shard);
+	int64_t headroom = hlt_shard_headroom(shard);
 	int64_t ranks[FS_SHARD_SERVERS_MAX];
 	int64_t steered = 0;
 
@@ -75,15 +75,16 @@
 	}
 	for (uint32_t i = 0; i < shard->count; i++) {
 		struct hlt_server *server = &shard->servers[i];
-		bool back = is_steered(server) && ranks[i] >= room;
+		bool retain = is_steered(server) && ranks[i] >= headroom;
 
-		if (back && !server->given_back)
-			record_given_back(shard, i, steered, aud, now_us);
-		server->given_back = back;
+		if (retain && !server->retained_for_floor)
+			record_retained(shard, i, steered, aud, now_us);
+		server->retained_for_floor = retain;
 	}
 }
 
 bool hlt_retained_for_floor(const struct hlt_shard *shard, uint32_t i)
 {
-	return is_steered(&shard->servers[i]) && shard->servers[i].given_back;
+	return is_steered(&shard->servers[i]) &&
+	       shard->servers[i].retained_for_floor;
 }
--- a/src/hlt_judge.c
+++ b/src/hlt_judge.c
@@ -1,17 +1,18 @@
 #include "hlt_rules.h"
 #include "hlt_state.h"
 
-#define ASK_SPACING_US (2 * FS_US_PER_S)   /* between two asks for a server */
-#define TELL_SPACING_US (60 * FS_US_PER_S) /* between two records of it */
+#define ACTION_INTERVAL_US (2 * FS_US_PER_S) /* between two asks for a server */
+#define ACTION_RECORD_INTERVAL_US \
+	(60 * FS_US_PER_S) /* between two records of it */
 
 uint32_t hlt_unhealthy_count(const struct hlt_shard *shard)
 {
-	uint32_t sick = 0;
+	uint32_t unhealthy = 0;
 
 	for (uint32_t i = 0; i < shard->count; i++)
-		sick += shard->servers[i].ejected ||
-			shard->servers[i].judged != HLT_HEALTHY;
-	return sick;
+		unhealthy += shard->servers[i].ejected ||
+			     shard->servers[i].evidence_level != HLT_HEALTHY;
+	return unhealthy;
 }
 
 bool hlt_shard_unhealthy(const struct hlt_shard *shard)
@@ -29,11 +30,11 @@
 		return AUD_R_STEER_CONNECT;
 	if (hlt_rule_stall(p, e->overdue, e->in_flight, e->quiet_us))
 		return AUD_R_STEER_STALL;
-	if (hlt_rule_errors(p, e->own.bad, e->own.good, e->peers.bad,
-			    e->peers.good))
+	if (hlt_rule_errors(p, e->own.failures, e->own.successes,
+			    e->peers.failures, e->peers.successes))
 		return AUD_R_STEER_ERRORS;
-	if (hlt_rule_slow(p, e->own.slow, e->own.good, e->peers.slow,
-			  e->peers.good))
+	if (hlt_rule_slow(p, e->own.slow, e->own.successes, e->peers.slow,
+			  e->peers.successes))
 		return AUD_R_STEER_SLOW;
 	return AUD_RULE_COUNT;
 }
@@ -52,7 +53,7 @@
 	aud_emit(aud, &rec);
 }
 
-static void become_suspect(struct hlt_shard *shard, uint32_t i,
+static void mark_suspected(struct hlt_shard *shard, uint32_t i,
 			   enum aud_rule rule, const struct hlt_evidence *e,
 			   struct aud *aud, int64_t now_us)
 {
@@ -60,14 +61,14 @@
 	bool relapse = server->has_cleared &&
 		       now_us - server->cleared_us < shard->params->relapse_us;
 
-	server->judged = HLT_SUSPECTED;
+	server->evidence_level = HLT_SUSPECTED;
 	server->rule = rule;
-	server->sick_us = now_us;
-	server->sick_bad = e->own.bad;
+	server->unhealthy_since_us = now_us;
+	server->sick_bad = e->own.failures;
 	server->good_run = 0;
 	server->relapses = relapse ? server->relapses + 1 : 0;
-	server->refused = AUD_RULE_COUNT;
-	server->told_us = 0;
+	server->refusal_recorded = AUD_RULE_COUNT;
+	server->request_recorded_us = 0;
 	record_steer(shard, i, "suspect", e, aud, now_us);
 }
 
@@ -77,8 +78,8 @@
 	return MAX((int64_t)server->relapses, (int64_t)server->ejections - 1);
 }
 
-static void become_fit(struct hlt_shard *shard, uint32_t i, struct aud *aud,
-		       int64_t now_us)
+static void mark_healthy(struct hlt_shard *shard, uint32_t i, struct aud *aud,
+			 int64_t now_us)
 {
 	struct hlt_server *server = &shard->servers[i];
 	struct aud_record rec;
@@ -92,7 +93,7 @@
 		aud_add(&rec, "reachable", server->reachable);
 		aud_emit(aud, &rec);
 	}
-	server->judged = HLT_HEALTHY;
+	server->evidence_level = HLT_HEALTHY;
 	server->rule = AUD_RULE_COUNT;
 	server->cleared_us = now_us;
 	server->has_cleared = true;
@@ -101,8 +102,8 @@
 	hlt_window_init(&server->window, shard->params->window_us, now_us);
 }
 
-static void judge(struct hlt_shard *shard, uint32_t i, struct aud *aud,
-		  int64_t now_us)
+static void evaluate(struct hlt_shard *shard, uint32_t i, struct aud *aud,
+		     int64_t now_us)
 {
 	const struct hlt_params *p = shard->params;
 	struct hlt_server *server = &shard->servers[i];
@@ -111,36 +112,36 @@
 
 	hlt_collect_evidence(shard, i, now_us, &e);
 	rule = find_rule(p, server, &e);
-	if (server->judged == HLT_HEALTHY) {
+	if (server->evidence_level == HLT_HEALTHY) {
 		if (rule != AUD_RULE_COUNT)
-			become_suspect(shard, i, rule, &e, aud, now_us);
+			mark_suspected(shard, i, rule, &e, aud, now_us);
 		return;
 	}
 	if (hlt_rule_clear(p, server->good_run, now_us - server->last_bad_us,
 			   relapses_of(server), server->reachable) &&
 	    !server->ejected && !e.overdue) {
-		become_fit(shard, i, aud, now_us);
+		mark_healthy(shard, i, aud, now_us);
 		return;
 	}
-	if (server->judged != HLT_SUSPECTED || rule == AUD_RULE_COUNT ||
+	if (server->evidence_level != HLT_SUSPECTED || rule == AUD_RULE_COUNT ||
 	    !hlt_rule_trial(p, hlt_rule_is_hard(rule),
-			    now_us - server->sick_us))
+			    now_us - server->unhealthy_since_us))
 		return;
-	server->judged = HLT_TRIAL;
+	server->evidence_level = HLT_TRIAL;
 	server->rule = rule;
 	record_steer(shard, i, "trial", &e, aud, now_us);
 }
 
 /* Records once why a server is not ejected though its evidence asks for it. */
-static void record_refused(struct hlt_shard *shard, uint32_t i,
-			   enum aud_rule rule, struct aud *aud, int64_t now_us)
+static void record_retained(struct hlt_shard *shard, uint32_t i,
+			    enum aud_rule rule, struct aud *aud, int64_t now_us)
 {
 	struct hlt_server *server = &shard->servers[i];
 	struct aud_record rec;
 
-	if (server->refused == rule || !aud)
+	if (server->refusal_recorded == rule || !aud)
 		return;
-	server->refused = rule;
+	server->refusal_recorded = rule;
 	hlt_record_begin(shard, i, rule, "kept", now_us, &rec);
 	if (rule == AUD_R_EJECT_DEPENDENCY) {
 		aud_add(&rec, "dependency_sick", 1);
@@ -151,42 +152,44 @@
 	aud_emit(aud, &rec);
 }
 
-static bool may_ask_eject(struct hlt_shard *shard, uint32_t i, struct aud *aud,
-			  int64_t now_us)
+static bool may_request_ejection(struct hlt_shard *shard, uint32_t i,
+				 struct aud *aud, int64_t now_us)
 {
 	struct hlt_server *server = &shard->servers[i];
 
-	if (server->judged != HLT_TRIAL ||
-	    !hlt_rule_eject(shard->params, now_us - server->sick_us,
+	if (server->evidence_level != HLT_TRIAL ||
+	    !hlt_rule_eject(shard->params, now_us - server->unhealthy_since_us,
 			    server->sick_bad, now_us - server->last_bad_us))
 		return false;
-	if (shard->dependency_sick) {
-		record_refused(shard, i, AUD_R_EJECT_DEPENDENCY, aud, now_us);
+	if (shard->dependency_unhealthy) {
+		record_retained(shard, i, AUD_R_EJECT_DEPENDENCY, aud, now_us);
 		return false;
 	}
 	if (hlt_shard_unhealthy(shard)) {
-		record_refused(shard, i, AUD_R_EJECT_COMMON, aud, now_us);
+		record_retained(shard, i, AUD_R_EJECT_COMMON, aud, now_us);
 		return false;
 	}
 	return now_us >= server->path_until_us;
 }
 
 /* Records what an ask is based on; its outcome is the eject task's record. */
-static void record_ask(struct hlt_shard *shard, uint32_t i,
-		       enum hlt_action action, struct aud *aud, int64_t now_us)
+static void record_request(struct hlt_shard *shard, uint32_t i,
+			   enum hlt_action action, struct aud *aud,
+			   int64_t now_us)
 {
 	struct hlt_server *server = &shard->servers[i];
 	int64_t from_us = MAX(server->last_bad_us, server->ejected_us);
 	struct aud_record rec;
 
 	if (!aud ||
-	    (server->told_us && now_us - server->told_us < TELL_SPACING_US))
+	    (server->request_recorded_us &&
+	     now_us - server->request_recorded_us < ACTION_RECORD_INTERVAL_US))
 		return;
-	server->told_us = now_us;
+	server->request_recorded_us = now_us;
 	if (action == HLT_ACT_REQUEST_EJECTION) {
 		hlt_record_begin(shard, i, server->rule, "eject_asked", now_us,
 				 &rec);
-		aud_add(&rec, "since_us", now_us - server->sick_us);
+		aud_add(&rec, "since_us", now_us - server->unhealthy_since_us);
 		aud_add(&rec, "sick_bad", server->sick_bad);
 		aud_add(&rec, "last_bad_us", now_us - server->last_bad_us);
 	} else {
@@ -213,13 +216,13 @@
 				       now_us - from_us, server->ejections,
 				       server->reachable))
 			action = HLT_ACT_REQUEST_REINSTATEMENT;
-	} else if (may_ask_eject(shard, i, aud, now_us)) {
+	} else if (may_request_ejection(shard, i, aud, now_us)) {
 		action = HLT_ACT_REQUEST_EJECTION;
 	}
-	if (action == HLT_ACT_NONE || now_us < server->ask_next_us)
+	if (action == HLT_ACT_NONE || now_us < server->action_next_us)
 		return HLT_ACT_NONE;
-	server->ask_next_us = now_us + ASK_SPACING_US;
-	record_ask(shard, i, action, aud, now_us);
+	server->action_next_us = now_us + ACTION_INTERVAL_US;
+	record_request(shard, i, action, aud, now_us);
 	return action;
 }
 
@@ -230,7 +233,7 @@
 	hlt_lat_update(&shard->lat, now_us);
 	hlt_count_overdue(shard, now_us);
 	for (uint32_t i = 0; i < shard->count; i++)
-		judge(shard, i, aud, now_us);
+		evaluate(shard, i, aud, now_us);
 	hlt_limit_steering(shard, aud, now_us);
 	for (uint32_t i = 0; i < shard->count; i++) {
 		rules[i] = shard->servers[i].rule;
--- a/src/hlt_lat.c
+++ b/src/hlt_lat.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define FIRST_POWER 8 /* the first bucket ends at 2^8 us */
-#define FIRST_BAND_MS 1024
+#define FIRST_BUCKET_POWER 8 /* the first bucket ends at 2^8 us */
+#define FIRST_BAND_MAX_MS 1024
 
 void hlt_lat_init(struct hlt_lat *lat, int64_t now_us)
 {
@@ -17,7 +17,7 @@
 
 uint32_t hlt_lat_band_of(int64_t deadline_us)
 {
-	int64_t limit_us = FIRST_BAND_MS * FS_US_PER_MS;
+	int64_t limit_us = FIRST_BAND_MAX_MS * FS_US_PER_MS;
 	uint32_t band = 0;
 
 	while (band < HLT_LAT_BANDS - 1 && deadline_us > limit_us) {
@@ -34,16 +34,17 @@
 	uint32_t power = 63 - (uint32_t)__builtin_clzll(v);
 	uint32_t bucket;
 
-	if (power < FIRST_POWER)
+	if (power < FIRST_BUCKET_POWER)
 		return 0;
-	bucket = (power - FIRST_POWER) * 4 + (uint32_t)((v >> (power - 2)) & 3);
+	bucket = (power - FIRST_BUCKET_POWER) * 4 +
+		 (uint32_t)((v >> (power - 2)) & 3);
 	return MIN(bucket, HLT_LAT_BUCKETS - 1);
 }
 
 /* The largest time that falls into a bucket. */
 static int64_t bucket_end(uint32_t bucket)
 {
-	uint32_t power = bucket / 4 + FIRST_POWER;
+	uint32_t power = bucket / 4 + FIRST_BUCKET_POWER;
 
 	return (5LL + bucket % 4) << (power - 2);
 }
@@ -56,10 +57,10 @@
 	c->count[lat->current]++;
 }
 
-static int64_t quantile(const struct hlt_lat_band *c, uint64_t permille)
+static int64_t quantile_us(const struct hlt_lat_band *c, uint64_t permille)
 {
 	uint64_t total = (uint64_t)c->count[0] + c->count[1];
-	uint64_t want = (total * permille + 999) / 1000;
+	uint64_t rank = (total * permille + 999) / 1000;
 	uint64_t seen = 0;
 	uint32_t bucket = 0;
 
@@ -67,7 +68,7 @@
 		return -1;
 	for (; bucket < HLT_LAT_BUCKETS - 1; bucket++) {
 		seen += (uint64_t)c->buckets[0][bucket] + c->buckets[1][bucket];
-		if (seen >= want)
+		if (seen >= rank)
 			break;
 	}
 	return bucket_end(bucket);
@@ -92,11 +93,11 @@
 	}
 	for (int i = 0; i < HLT_LAT_BANDS; i++) {
 		struct hlt_lat_band *c = &lat->bands[i];
-		int64_t p50_us = quantile(c, 500);
+		int64_t p50_us = quantile_us(c, 500);
 
 		if (p50_us < 0)
 			continue;
 		c->p50_us = p50_us;
-		c->p95_us = quantile(c, 950);
+		c->p95_us = quantile_us(c, 950);
 	}
 }
--- a/src/hlt_record.c
+++ b/src/hlt_record.c
@@ -23,20 +23,20 @@
 		aud_add(rec, "quiet_us", evidence->quiet_us);
 		break;
 	case AUD_R_STEER_ERRORS:
-		aud_add(rec, "bad", evidence->own.bad);
-		aud_add(rec, "good", evidence->own.good);
-		aud_add(rec, "peers_bad", evidence->peers.bad);
-		aud_add(rec, "peers_good", evidence->peers.good);
+		aud_add(rec, "bad", evidence->own.failures);
+		aud_add(rec, "good", evidence->own.successes);
+		aud_add(rec, "peers_bad", evidence->peers.failures);
+		aud_add(rec, "peers_good", evidence->peers.successes);
 		break;
 	case AUD_R_STEER_SLOW:
 		aud_add(rec, "slow", evidence->own.slow);
-		aud_add(rec, "good", evidence->own.good);
+		aud_add(rec, "good", evidence->own.successes);
 		aud_add(rec, "peers_slow", evidence->peers.slow);
-		aud_add(rec, "peers_good", evidence->peers.good);
+		aud_add(rec, "peers_good", evidence->peers.successes);
 		break;
 	default:
 		aud_add(rec, "failures", server->connect_failures);
 		break;
 	}
-	aud_add(rec, "since_us", now_us - server->sick_us);
+	aud_add(rec, "since_us", now_us - server->unhealthy_since_us);
 }
--- a/src/hlt_rules.c
+++ b/src/hlt_rules.c
@@ -51,8 +51,8 @@
 
 /* Either enough good answers, or so long without any work that could have
  * told that a cautious start is worth it. */
-static bool well_for(int64_t good_run, int64_t good_min, int64_t quiet_us,
-		     int64_t good_us, int64_t idle_us, bool reachable)
+static bool has_recovered(int64_t good_run, int64_t good_min, int64_t quiet_us,
+			  int64_t good_us, int64_t idle_us, bool reachable)
 {
 	if (good_run >= good_min && quiet_us >= good_us)
 		return true;
@@ -64,8 +64,9 @@
 {
 	int64_t shift = CLAMP(relapses, 0, p->shift_max);
 
-	return well_for(good_run, p->clear_good, quiet_us, p->clear_us << shift,
-			p->idle_clear_us << shift, reachable);
+	return has_recovered(good_run, p->clear_good, quiet_us,
+			     p->clear_us << shift, p->idle_clear_us << shift,
+			     reachable);
 }
 
 bool hlt_rule_reinstate(const struct hlt_params *p, int64_t good_run,
@@ -73,9 +74,9 @@
 {
 	int64_t shift = CLAMP(ejections - 1, 0, p->shift_max);
 
-	return well_for(good_run, p->return_good, quiet_us,
-			p->return_us << shift, (p->idle_clear_us * 2) << shift,
-			reachable);
+	return has_recovered(good_run, p->return_good, quiet_us,
+			     p->return_us << shift,
+			     (p->idle_clear_us * 2) << shift, reachable);
 }
 
 bool hlt_rule_eject(const struct hlt_params *p, int64_t since_us, int64_t bad,
@@ -94,10 +95,10 @@
 int64_t hlt_steering_headroom(int64_t first, int64_t servers, int64_t count,
 			      int64_t out, int64_t floor)
 {
-	int64_t room = MAX(count - floor - out, 0);
+	int64_t headroom = MAX(count - floor - out, 0);
 
 	if (count <= 0)
 		return 0;
-	return MIN(first + servers, count) * room / count -
-	       MIN(first, count) * room / count;
+	return MIN(first + servers, count) * headroom / count -
+	       MIN(first, count) * headroom / count;
 }
--- a/src/hlt_state.h
+++ b/src/hlt_state.h
@@ -24,32 +24,33 @@
 	char name[FS_NAME_MAX];
 	/* Evidence */
 	struct hlt_window window;
-	GArray *flights;	   /* struct hlt_inflight */
+	GArray *inflight;	   /* struct hlt_inflight */
 	uint32_t connect_failures; /* in a row */
 	bool reachable;		   /* by the last probe */
 	int64_t last_good_us;
 	int64_t last_bad_us;
 	uint32_t good_run; /* good answers since the last bad outcome */
 	/* Judgement by evidence alone */
-	enum hlt_level judged; /* up to HLT_TRIAL */
-	enum aud_rule rule;    /* that judged it */
-	int64_t sick_us;       /* since when it is not fit */
-	uint32_t sick_bad;     /* bad outcomes since */
-	uint32_t relapses;     /* times it was sick of late, before this one */
-	int64_t cleared_us;    /* end of the last time */
+	enum hlt_level evidence_level; /* up to HLT_TRIAL */
+	enum aud_rule rule;	       /* that judged it */
+	int64_t unhealthy_since_us;    /* since when it is not fit */
+	uint32_t sick_bad;	       /* bad outcomes since */
+	uint32_t relapses;  /* times it was sick of late, before this one */
+	int64_t cleared_us; /* end of the last time */
 	bool has_cleared;
 	/* What else bears on it */
-	bool given_back;    /* steered away from no more, for the floor */
-	bool ejected;	    /* by the record */
-	int64_t ejected_us; /* since when */
-	uint32_t ejections; /* by the record */
-	int64_t ramp_us;    /* start of its slow start */
+	bool retained_for_floor; /* steered away from no more, for the floor */
+	bool ejected;		 /* by the record */
+	int64_t ejected_us;	 /* since when */
+	uint32_t ejections;	 /* by the record */
+	int64_t ramp_us;	 /* start of its slow start */
 	bool ramping;
-	int64_t trial_next_us; /* no trial before */
-	int64_t path_until_us; /* others reach it: not ejected until */
-	int64_t ask_next_us;   /* no action before */
-	int64_t told_us;       /* an ask was recorded last; 0: none */
-	enum aud_rule refused; /* why it was not ejected, as recorded last */
+	int64_t trial_next_us;	     /* no trial before */
+	int64_t path_until_us;	     /* others reach it: not ejected until */
+	int64_t action_next_us;	     /* no action before */
+	int64_t request_recorded_us; /* an ask was recorded last; 0: none */
+	enum aud_rule
+		refusal_recorded; /* why it was not ejected, as recorded last */
 };
 
 struct hlt_shard {
@@ -63,9 +64,9 @@
 	int64_t first;	      /* servers of the region before this shard's */
 	int64_t region_count; /* not leaving */
 	int64_t region_floor;
-	int64_t region_out;   /* ejected by the record */
-	int64_t confirmed_us; /* of the record */
-	bool dependency_sick;
+	int64_t region_ejected; /* ejected by the record */
+	int64_t confirmed_us;	/* of the record */
+	bool dependency_unhealthy;
 	uint32_t token; /* of the last request */
 	struct hlt_lat lat;
 	uint32_t count;
--- a/src/hlt_window.c
+++ b/src/hlt_window.c
@@ -37,10 +37,10 @@
 
 	advance(window, now_us);
 	for (int i = 0; i < HLT_WINDOW_BUCKETS; i++) {
-		sum.good += window->buckets[i].good;
+		sum.successes += window->buckets[i].successes;
 		sum.slow += window->buckets[i].slow;
-		sum.bad += window->buckets[i].bad;
-		sum.weak += window->buckets[i].weak;
+		sum.failures += window->buckets[i].failures;
+		sum.weak_failures += window->buckets[i].weak_failures;
 	}
 	return sum;
 }
--- a/src/hlt_window.h
+++ b/src/hlt_window.h
@@ -11,10 +11,10 @@
 
 /** What is counted. */
 struct hlt_counts {
-	uint32_t good; /* whole answers in time */
-	uint32_t slow; /* of these, slower than the peers */
-	uint32_t bad;  /* errors, timeouts, overdue requests */
-	uint32_t weak; /* failures on reused connections */
+	uint32_t successes;	/* whole answers in time */
+	uint32_t slow;		/* of these, slower than the peers */
+	uint32_t failures;	/* errors, timeouts, overdue requests */
+	uint32_t weak_failures; /* failures on reused connections */
 };
 
 /** The window of one server. */
--- a/src/lod_use.c
+++ b/src/lod_use.c
@@ -34,7 +34,7 @@
 static void add_target(void *arg, const struct dir_target *target)
 {
 	struct survey *survey = arg;
-	const struct bal_target *kept = target->judge;
+	const struct bal_target *kept = target->user_data;
 	bool suspected = kept && gry_is_suspected(&kept->gry, survey->now_us);
 	struct use *use;
 
--- a/tests/unit_bal.c
+++ b/tests/unit_bal.c
@@ -8,52 +8,52 @@
 
 #define MS FS_US_PER_MS
 #define SECOND FS_US_PER_S
-#define NEWS_US (300 * MS)
-#define TICK_US (200 * MS)
-#define DAY_US (60 * SECOND)
+#define PROPAGATION_US (300 * MS)
+#define FAULT_TICK_US (200 * MS)
+#define RUN_US (60 * SECOND)
 #define WINDOW_US (2 * SECOND) /* in which the floor is judged */
 #define SETTLED_US (5 * SECOND)
-#define SPELL_MIN_US (3 * SECOND)
-#define SPELL_MAX_US (7 * SECOND)
-#define SPELL_FAILURE 0.65
+#define FAULT_MIN_US (3 * SECOND)
+#define FAULT_MAX_US (7 * SECOND)
+#define FAULT_FAILURE_RATE 0.65
 /* A spell is over for good after this; only then its target is sound. */
-#define SOUND_AFTER_US (2 * SECOND)
+#define HEALTHY_AFTER_US (2 * SECOND)
 #define TARGETS_MAX 160
-#define FEW 10		/* sound targets that are looked at together */
-#define FLOOR 0.7	/* of them have to get work */
-#define DRAWS 100	/* of each window */
-#define BROKEN_MAX 0.01 /* of the draws */
+#define SAMPLE_SIZE 10	     /* sound targets that are looked at together */
+#define FLOOR 0.7	     /* of them have to get work */
+#define SAMPLES 100	     /* of each window */
+#define BELOW_FLOOR_MAX 0.01 /* of the draws */
 /* The floor leaves 0.3; half of it where a try costs no request. */
 #define RECOVERED_IDLE_MAX 0.15
 #define RECOVERED_IDLE_ONCE_MAX 0.3
-#define KNOWN_BAD_MAX 1.0 /* requests a second to a target in a spell */
+#define KNOWN_FAULTY_RATE_MAX 1.0 /* requests a second to a target in a spell */
 
 /** A service and its load. */
 struct load {
 	const char *name;
-	uint32_t days; /* played, each with another seed */
+	uint32_t runs; /* played, each with another seed */
 	int targets;
 	int domains;
 	uint32_t slots;
-	double rate;	 /* requests a second */
-	int64_t work_us; /* mean */
-	double chance;	 /* of a failure at any target */
-	double spells;	 /* a second and target */
-	int64_t cross_us;
+	double rate;	     /* requests a second */
+	int64_t work_us;     /* mean */
+	double failure_rate; /* of a failure at any target */
+	double fault_rate;   /* a second and target */
+	int64_t cross_domain_cost_us;
 	bool repeatable;
 };
 
-enum news_kind {
-	NEWS_SENT,
-	NEWS_GOOD,
-	NEWS_FAILED,
+enum update_kind {
+	UPDATE_SENT,
+	UPDATE_SUCCESS,
+	UPDATE_FAILURE,
 };
 
-struct news {
+struct update {
 	int64_t at_us;
 	int target;
-	enum news_kind kind;
-	int64_t about_us; /* of a send: its time; of an answer: time taken */
+	enum update_kind kind;
+	int64_t value_us; /* of a send: its time; of an answer: time taken */
 };
 
 struct sim {
@@ -61,33 +61,33 @@
 	GRand *rand;
 	struct dir *dir;
 	struct dir_target *targets[TARGETS_MAX];
-	int64_t spell_us[TARGETS_MAX]; /* begin of the last spell */
-	int64_t spell_end_us[TARGETS_MAX];
+	int64_t fault_start_us[TARGETS_MAX]; /* begin of the last spell */
+	int64_t fault_end_us[TARGETS_MAX];
 	GArray *arrivals[TARGETS_MAX]; /* int64_t, times */
-	GSequence *news;	       /* struct news, by time */
+	GSequence *updates;	       /* struct news, by time */
 	int requests;
 	int failed;
 	int recovered;	    /* spells that ended early enough to be looked at */
 	int recovered_idle; /* of these, targets that stayed without work */
-	int known_bad; /* sent a second or more after a spell's first failure */
-	int64_t bad_us; /* time of all spells, after their first second */
+	int known_faulty; /* sent a second or more after a spell's first failure */
+	int64_t fault_us; /* time of all spells, after their first second */
 };
 
 static int by_time(const void *a, const void *b, void *arg)
 {
-	const struct news *x = a, *y = b;
+	const struct update *x = a, *y = b;
 
 	(void)arg;
 	return x->at_us < y->at_us ? -1 : x->at_us > y->at_us;
 }
 
-static void tell(struct sim *s, int64_t at_us, int target, enum news_kind kind,
-		 int64_t about_us)
+static void publish(struct sim *s, int64_t at_us, int target,
+		    enum update_kind kind, int64_t value_us)
 {
-	struct news *n = g_new(struct news, 1);
+	struct update *n = g_new(struct update, 1);
 
-	*n = (struct news){at_us, target, kind, about_us};
-	g_sequence_insert_sorted(s->news, n, by_time, NULL);
+	*n = (struct update){at_us, target, kind, value_us};
+	g_sequence_insert_sorted(s->updates, n, by_time, NULL);
 }
 
 static void sim_begin(struct sim *s, const struct load *load, uint32_t seed)
@@ -98,7 +98,7 @@
 	s->load = load;
 	s->rand = g_rand_new_with_seed(seed);
 	s->dir = dir_new(g_free);
-	s->news = g_sequence_new(g_free);
+	s->updates = g_sequence_new(g_free);
 	for (int i = 0; i < load->targets; i++) {
 		struct dir_entry e = {.rev = 1, .born = 1};
 
@@ -110,7 +110,7 @@
 			  sizeof(e.domain));
 		dir_put(s->dir, &e, 0);
 		s->targets[i] = dir_target_find(s->dir, e.id);
-		s->spell_us[i] = s->spell_end_us[i] = -DAY_US;
+		s->fault_start_us[i] = s->fault_end_us[i] = -RUN_US;
 		s->arrivals[i] = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	}
 }
@@ -119,14 +119,15 @@
 {
 	for (int i = 0; i < s->load->targets; i++)
 		g_array_unref(s->arrivals[i]);
-	g_sequence_free(s->news);
+	g_sequence_free(s->updates);
 	dir_free(s->dir);
 	g_rand_free(s->rand);
 }
 
-static bool in_spell(const struct sim *s, int target, int64_t at_us)
+static bool in_fault(const struct sim *s, int target, int64_t at_us)
 {
-	return at_us >= s->spell_us[target] && at_us < s->spell_end_us[target];
+	return at_us >= s->fault_start_us[target] &&
+	       at_us < s->fault_end_us[target];
 }
 
 static bool gets_work(const struct sim *s, int target, int64_t from_us)
@@ -142,9 +143,9 @@
 
 /* A target is sound SOUND_AFTER_US after its spell. Counts whether it got work in
  * the window that follows. */
-static void judge_recovery(struct sim *s, int target)
+static void check_recovery(struct sim *s, int target)
 {
-	int64_t from_us = s->spell_end_us[target] + SOUND_AFTER_US;
+	int64_t from_us = s->fault_end_us[target] + HEALTHY_AFTER_US;
 
 	if (from_us < SETTLED_US)
 		return;
@@ -152,49 +153,49 @@
 	s->recovered_idle += !gets_work(s, target, from_us);
 }
 
-static void maybe_begin_spell(struct sim *s, int target, int64_t now_us)
+static void maybe_start_fault(struct sim *s, int target, int64_t now_us)
 {
 	/* One after the other, so that each recovery can be looked at. */
-	if (now_us < s->spell_end_us[target] + SOUND_AFTER_US + WINDOW_US ||
+	if (now_us < s->fault_end_us[target] + HEALTHY_AFTER_US + WINDOW_US ||
 	    g_rand_double(s->rand) >=
-		    s->load->spells * (double)TICK_US / SECOND)
+		    s->load->fault_rate * (double)FAULT_TICK_US / SECOND)
 		return;
-	judge_recovery(s, target);
-	s->spell_us[target] = now_us;
-	s->spell_end_us[target] =
-		now_us + g_rand_int_range(s->rand, SPELL_MIN_US, SPELL_MAX_US);
-	s->bad_us += s->spell_end_us[target] - now_us - SECOND;
+	check_recovery(s, target);
+	s->fault_start_us[target] = now_us;
+	s->fault_end_us[target] =
+		now_us + g_rand_int_range(s->rand, FAULT_MIN_US, FAULT_MAX_US);
+	s->fault_us += s->fault_end_us[target] - now_us - SECOND;
 }
 
-static void hear(struct sim *s, const struct news *n)
+static void apply_update(struct sim *s, const struct update *n)
 {
-	struct bal_target *kept =
+	struct bal_target *stats =
 		bal_target_get(s->targets[n->target], n->at_us);
 
-	if (n->kind == NEWS_SENT) {
-		kept->others++;
-		kept->sent_us = MAX(kept->sent_us, n->about_us);
+	if (n->kind == UPDATE_SENT) {
+		stats->others++;
+		stats->sent_us = MAX(stats->sent_us, n->value_us);
 	} else {
-		kept->others--;
-		gry_record_outcome(&kept->gry,
-				   n->kind == NEWS_GOOD ? GRY_SUCCESS :
-							  GRY_FAILED,
+		stats->others--;
+		gry_record_outcome(&stats->gry,
+				   n->kind == UPDATE_SUCCESS ? GRY_SUCCESS :
+							       GRY_FAILED,
 				   1.0, n->at_us);
 	}
-	if (n->kind == NEWS_GOOD)
-		gry_record_response_time(&kept->gry, n->about_us,
+	if (n->kind == UPDATE_SUCCESS)
+		gry_record_response_time(&stats->gry, n->value_us,
 					 s->load->work_us, n->at_us);
 }
 
-static void hear_until(struct sim *s, int64_t now_us)
+static void apply_updates_until(struct sim *s, int64_t now_us)
 {
 	GSequenceIter *first;
 
-	while (!g_sequence_is_empty(s->news)) {
-		first = g_sequence_get_begin_iter(s->news);
-		if (((struct news *)g_sequence_get(first))->at_us > now_us)
+	while (!g_sequence_is_empty(s->updates)) {
+		first = g_sequence_get_begin_iter(s->updates);
+		if (((struct update *)g_sequence_get(first))->at_us > now_us)
 			return;
-		hear(s, g_sequence_get(first));
+		apply_update(s, g_sequence_get(first));
 		g_sequence_remove(first);
 	}
 }
@@ -202,14 +203,14 @@
 static void tick(struct sim *s, int64_t now_us)
 {
 	for (int i = 0; i < s->load->targets; i++)
-		maybe_begin_spell(s, i, now_us);
+		maybe_start_fault(s, i, now_us);
 }
 
 static void send_to(struct sim *s, int target, int64_t now_us)
 {
-	bool spell = in_spell(s, target, now_us);
+	bool faulty = in_fault(s, target, now_us);
 	bool failed = g_rand_double(s->rand) <
-		      (spell ? SPELL_FAILURE : s->load->chance);
+		      (faulty ? FAULT_FAILURE_RATE : s->load->failure_rate);
 	/* Times of work differ: half to twice the mean for most requests. */
 	double factor = exp(g_rand_double_range(s->rand, -0.9, 0.7));
 	int64_t took_us = failed ? 5 * MS :
@@ -218,10 +219,11 @@
 	g_array_append_val(s->arrivals[target], now_us);
 	s->requests++;
 	s->failed += failed;
-	s->known_bad += spell && now_us - s->spell_us[target] > SECOND;
-	tell(s, now_us + NEWS_US, target, NEWS_SENT, now_us);
-	tell(s, now_us + took_us + NEWS_US, target,
-	     failed ? NEWS_FAILED : NEWS_GOOD, took_us);
+	s->known_faulty += faulty &&
+			   now_us - s->fault_start_us[target] > SECOND;
+	publish(s, now_us + PROPAGATION_US, target, UPDATE_SENT, now_us);
+	publish(s, now_us + took_us + PROPAGATION_US, target,
+		failed ? UPDATE_FAILURE : UPDATE_SUCCESS, took_us);
 }
 
 static int index_of(const struct sim *s, const struct dir_target *target)
@@ -236,13 +238,13 @@
 static void request(struct sim *s, int64_t now_us)
 {
 	const struct load *load = s->load;
-	struct bal_query wish = {
+	struct bal_query query = {
 		.domain =
 			s->targets[g_rand_int_range(s->rand, 0, load->domains)]
 				->entry.domain,
 		.mean_us = load->work_us,
-		.failure_us = 4 * SECOND,
-		.cross_us = load->cross_us,
+		.failure_cost_us = 4 * SECOND,
+		.cross_domain_cost_us = load->cross_domain_cost_us,
 		.repeatable = load->repeatable,
 		.rate = load->rate,
 		.domain_share = 1.0 / load->domains,
@@ -250,7 +252,7 @@
 		.random = (uint64_t)g_rand_int(s->rand) << 32 |
 			  g_rand_int(s->rand),
 	};
-	struct bal_choice choice = bal_choose(dir_find(s->dir, "pay"), &wish);
+	struct bal_choice choice = bal_choose(dir_find(s->dir, "pay"), &query);
 
 	if (choice.target)
 		send_to(s, index_of(s, choice.target), now_us);
@@ -258,64 +260,65 @@
 
 /** What the last window looked like. */
 struct window {
-	bool works[TARGETS_MAX]; /* sound targets: whether they get work */
+	bool busy[TARGETS_MAX]; /* sound targets: whether they get work */
 	int count;
 	int idle;
 };
 
-static void look(const struct sim *s, int64_t from_us, struct window *w)
+static void collect_window(const struct sim *s, int64_t from_us,
+			   struct window *w)
 {
 	w->count = w->idle = 0;
 	for (int i = 0; i < s->load->targets; i++) {
-		if (s->spell_end_us[i] > from_us - SOUND_AFTER_US)
+		if (s->fault_end_us[i] > from_us - HEALTHY_AFTER_US)
 			continue;
-		w->works[w->count] = gets_work(s, i, from_us);
-		w->idle += !w->works[w->count];
+		w->busy[w->count] = gets_work(s, i, from_us);
+		w->idle += !w->busy[w->count];
 		w->count++;
 	}
 }
 
 /* Draws FEW different ones of the sound targets. Returns whether the floor is
  * kept there. */
-static bool few_keep_floor(struct sim *s, struct window *w)
+static bool sample_meets_floor(struct sim *s, struct window *w)
 {
-	int few = MIN(FEW, w->count);
-	int works = 0;
+	int sample = MIN(SAMPLE_SIZE, w->count);
+	int busy = 0;
 
-	for (int i = 0; i < few; i++) {
+	for (int i = 0; i < sample; i++) {
 		int j = g_rand_int_range(s->rand, i, w->count);
-		bool drawn = w->works[j];
+		bool picked = w->busy[j];
 
-		w->works[j] = w->works[i];
-		w->works[i] = drawn;
-		works += drawn;
+		w->busy[j] = w->busy[i];
+		w->busy[i] = picked;
+		busy += picked;
 	}
-	return works >= FLOOR * few;
+	return busy >= FLOOR * sample;
 }
 
 /** Sums over all windows of some days. */
 struct sum {
-	int windows, sound, idle;
-	int draws, broken;
-	int requests, failed, known_bad;
+	int windows, healthy, idle;
+	int samples, below_floor;
+	int requests, failed, known_faulty;
 	int recovered, recovered_idle;
-	int64_t bad_us;
+	int64_t fault_us;
 };
 
-static void look_at_window(struct sim *s, int64_t from_us, struct sum *sum)
+static void check_window(struct sim *s, int64_t from_us, struct sum *sum)
 {
 	struct window w;
 
-	look(s, from_us, &w);
+	collect_window(s, from_us, &w);
 	sum->windows++;
-	sum->sound += w.count;
+	sum->healthy += w.count;
 	sum->idle += w.idle;
-	for (int i = 0; i < DRAWS; i++)
-		sum->broken += !few_keep_floor(s, &w);
-	sum->draws += DRAWS;
+	for (int i = 0; i < SAMPLES; i++)
+		sum->below_floor += !sample_meets_floor(s, &w);
+	sum->samples += SAMPLES;
 }
 
-static void play(const struct load *load, uint32_t seed, struct sum *sum)
+static void run_sim(const struct load *load, uint32_t seed, struct sum *sum)
 {
 	struct sim s;
 	int64_t now_us = 0;
@@ -323,24 +326,24 @@
 	int64_t window_us = SETTLED_US;
 
 	sim_begin(&s, load, seed);
-	while (now_us < DAY_US) {
+	while (now_us < RUN_US) {
 		now_us += (int64_t)(-log(1.0 - g_rand_double(s.rand)) * SECOND /
 				    load->rate);
-		for (; tick_us < now_us; tick_us += TICK_US) {
-			hear_until(&s, tick_us);
+		for (; tick_us < now_us; tick_us += FAULT_TICK_US) {
+			apply_updates_until(&s, tick_us);
 			tick(&s, tick_us);
 		}
 		for (; window_us + WINDOW_US < now_us; window_us += SECOND)
-			look_at_window(&s, window_us, sum);
-		hear_until(&s, now_us);
+			check_window(&s, window_us, sum);
+		apply_updates_until(&s, now_us);
 		request(&s, now_us);
 	}
 	sum->requests += s.requests;
 	sum->failed += s.failed;
-	sum->known_bad += s.known_bad;
+	sum->known_faulty += s.known_faulty;
 	sum->recovered += s.recovered;
 	sum->recovered_idle += s.recovered_idle;
-	sum->bad_us += s.bad_us;
+	sum->fault_us += s.fault_us;
 	sim_end(&s);
 }
 
@@ -349,85 +352,87 @@
  * just most of all targets. In particular those that have just recovered do, since
  * faults that end together leave just them sound. Targets in a spell of failures
  * are tried sparingly. */
-static void check(const void *arg)
+static void check_load(const void *arg)
 {
 	const struct load *load = arg;
 	struct sum sum = {0};
 
-	for (uint32_t seed = 1; seed <= load->days; seed++)
-		play(load, seed, &sum);
+	for (uint32_t seed = 1; seed <= load->runs; seed++)
+		run_sim(load, seed, &sum);
 	g_test_message("%s: %d windows, idle %.3f of the sound targets, "
 		       "%.4f of the draws below the floor, %.4f of the "
 		       "requests failed, %.2f a second to a known bad target, "
 		       "%.3f of %d recovered targets idle",
-		       load->name, sum.windows, (double)sum.idle / sum.sound,
-		       (double)sum.broken / sum.draws,
+		       load->name, sum.windows, (double)sum.idle / sum.healthy,
+		       (double)sum.below_floor / sum.samples,
 		       (double)sum.failed / sum.requests,
-		       (double)sum.known_bad * SECOND / (double)sum.bad_us,
+		       (double)sum.known_faulty * SECOND / (double)sum.fault_us,
 		       (double)sum.recovered_idle / sum.recovered,
 		       sum.recovered);
 	g_assert_cmpfloat((double)sum.recovered_idle / sum.recovered, <,
 			  load->repeatable ? RECOVERED_IDLE_MAX :
 					     RECOVERED_IDLE_ONCE_MAX);
-	g_assert_cmpfloat((double)sum.broken / sum.draws, <, BROKEN_MAX);
-	g_assert_cmpfloat((double)sum.known_bad * SECOND / (double)sum.bad_us,
-			  <, KNOWN_BAD_MAX);
+	g_assert_cmpfloat((double)sum.below_floor / sum.samples, <,
+			  BELOW_FLOOR_MAX);
+	g_assert_cmpfloat((double)sum.known_faulty * SECOND /
+				  (double)sum.fault_us,
+			  <, KNOWN_FAULTY_RATE_MAX);
 }
 
 static const struct load loads[] = {
 	{
 		/* One request a second and target. */
 		.name = "long work",
-		.days = 6,
+		.runs = 6,
 		.repeatable = true,
 		.targets = 105,
 		.domains = 4,
 		.slots = 6,
 		.rate = 103,
 		.work_us = 2000 * MS,
-		.chance = 0.03,
-		.spells = 0.02,
-		.cross_us = 120 * MS,
+		.failure_rate = 0.03,
+		.fault_rate = 0.02,
+		.cross_domain_cost_us = 120 * MS,
 	},
 	{
 		/* Requests that are lost if they fail. */
 		.name = "short work",
-		.days = 4,
+		.runs = 4,
 		.targets = 146,
 		.domains = 4,
 		.slots = 6,
 		.rate = 577,
 		.work_us = 480 * MS,
-		.chance = 0.03,
-		.spells = 0.02,
-		.cross_us = 120 * MS,
+		.failure_rate = 0.03,
+		.fault_rate = 0.02,
+		.cross_domain_cost_us = 120 * MS,
 	},
 	{
 		/* Answers that are too long to cross. */
 		.name = "downloads",
-		.days = 24,
+		.runs = 24,
 		.repeatable = true,
 		.targets = 12,
 		.domains = 4,
 		.slots = 6,
 		.rate = 57,
 		.work_us = 390 * MS,
-		.chance = 0.03,
-		.spells = 0.02,
-		.cross_us = 5 * SECOND,
+		.failure_rate = 0.03,
+		.fault_rate = 0.02,
+		.cross_domain_cost_us = 5 * SECOND,
 	},
 	{
 		.name = "small fleet",
-		.days = 32,
+		.runs = 32,
 		.repeatable = true,
 		.targets = 12,
 		.domains = 3,
 		.slots = 4,
 		.rate = 12,
 		.work_us = 1200 * MS,
-		.chance = 0.03,
-		.spells = 0.02,
-		.cross_us = 120 * MS,
+		.failure_rate = 0.03,
+		.fault_rate = 0.02,
+		.cross_domain_cost_us = 120 * MS,
 	},
 };
 
@@ -439,7 +444,7 @@
 		g_autofree char *path = g_strdup_printf(
 			"/bal/every_sound_target_works/%s", loads[i].name);
 
-		g_test_add_data_func(path, &loads[i], check);
+		g_test_add_data_func(path, &loads[i], check_load);
 	}
 	return g_test_run();
 }
--- a/tests/unit_dir.c
+++ b/tests/unit_dir.c
@@ -23,7 +23,7 @@
 	dir_put(dir, &e, 0);
 }
 
-static void leave(struct dir *dir, const char *id, uint64_t rev)
+static void put_leaving(struct dir *dir, const char *id, uint64_t rev)
 {
 	struct dir_entry e = entry(id, rev);
 
@@ -32,7 +32,7 @@
 }
 
 /* An entry that was read before a removal may arrive after it. */
-static void test_late_entry_brings_nothing_back(void)
+static void test_late_entry_is_ignored(void)
 {
 	struct dir *dir = dir_new(NULL);
 
@@ -45,7 +45,7 @@
 	dir_free(dir);
 }
 
-static void test_late_removal_takes_nothing_away(void)
+static void test_late_removal_is_ignored(void)
 {
 	struct dir *dir = dir_new(NULL);
 
@@ -65,8 +65,8 @@
 	put(dir, "a", 1);
 	put(dir, "b", 2);
 	before = dir_digest(dir);
-	leave(dir, "a", 3);
-	leave(dir, "b", 4);
+	put_leaving(dir, "a", 3);
+	put_leaving(dir, "b", 4);
 	g_assert_cmpuint(dir_digest(dir), !=, before);
 	dir_free(dir);
 }
@@ -96,7 +96,7 @@
 	old = dir_target_ref(dir_target_find(dir, "a"));
 	e.born = 2;
 	g_assert_true(dir_put(dir, &e, 0));
-	g_assert_true(old->gone);
+	g_assert_true(old->removed_from_dir);
 	g_assert_true(dir_target_find(dir, "a") != old);
 	dir_target_unref(old);
 	dir_free(dir);
@@ -126,13 +126,13 @@
 	struct dir *dir = dir_new(NULL);
 
 	put(dir, "a", 1);
-	leave(dir, "a", 2);
+	put_leaving(dir, "a", 2);
 	dir_remove(dir, "a", 5, 2 * SECOND, SECOND);
 	g_assert_null(dir_target_find(dir, "a"));
 	dir_free(dir);
 }
 
-static void test_list_removes_what_it_lacks(void)
+static void test_list_removes_missing_entries(void)
 {
 	struct dir *dir = dir_new(NULL);
 
@@ -152,9 +152,8 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/dir/late_entry", test_late_entry_brings_nothing_back);
-	g_test_add_func("/dir/late_removal",
-			test_late_removal_takes_nothing_away);
+	g_test_add_func("/dir/late_entry", test_late_entry_is_ignored);
+	g_test_add_func("/dir/late_removal", test_late_removal_is_ignored);
 	g_test_add_func("/dir/digest_of_equal_changes",
 			test_digest_of_equal_changes);
 	g_test_add_func("/dir/digest_ignores_revisions",
@@ -162,6 +161,6 @@
 	g_test_add_func("/dir/restart", test_restart_is_another_target);
 	g_test_add_func("/dir/grace", test_grace_after_an_outage);
 	g_test_add_func("/dir/no_grace", test_no_grace_for_the_leaving);
-	g_test_add_func("/dir/list", test_list_removes_what_it_lacks);
+	g_test_add_func("/dir/list", test_list_removes_missing_entries);
 	return g_test_run();
 }
--- a/tests/unit_policy_gateway.c
+++ b/tests/unit_policy_gateway.c
@@ -32,8 +32,8 @@
 	s->wish = (struct bal_query){
 		.domain = "here",
 		.mean_us = MEAN_US,
-		.failure_us = 4 * SECOND,
-		.cross_us = 120 * MS,
+		.failure_cost_us = 4 * SECOND,
+		.cross_domain_cost_us = 120 * MS,
 		.rate = 10,
 		.domain_share = 1.0,
 		.now_us = 100 * SECOND,
@@ -51,7 +51,8 @@
 	dir_put(s->dir, &e, 0);
 	bal_target_get(dir_target_find(s->dir, e.id), 0)->sent_us =
 		s->wish.now_us;
-	bal_target_get(dir_target_find(s->dir, e.id), 0)->gry.known = true;
+	bal_target_get(dir_target_find(s->dir, e.id), 0)->gry.has_outcome =
+		true;
 	return dir_target_find(s->dir, e.id);
 }
 
@@ -218,7 +219,7 @@
 	for (int i = 0; i < 12; i++)
 		add(&s, i, "here");
 	s.wish.rate = 100;
-	bal_target_get(dir_target_find(s.dir, "0"), 0)->gry.known = false;
+	bal_target_get(dir_target_find(s.dir, "0"), 0)->gry.has_outcome = false;
 	bal_target_get(dir_target_find(s.dir, "0"), 0)->sent_us = INT64_MIN / 2;
 	dir_target_find(s.dir, "0")->warm_us = s.wish.now_us + 3 * SECOND;
 	run(&s);
@@ -320,7 +321,7 @@
 	struct scene s;
 
 	scene_begin(&s);
-	s.wish.cross_us = 120 * MS + 90000 * 20;
+	s.wish.cross_domain_cost_us = 120 * MS + 90000 * 20;
 	add(&s, 0, "here");
 	add(&s, 1, "there");
 	bal_target_get(dir_target_find(s.dir, "0"), 0)->others = 8;
@@ -336,7 +337,7 @@
 
 	scene_begin(&s);
 	add(&s, 0, "here");
-	bal_target_get(add(&s, 1, "here"), 0)->gry.known = false;
+	bal_target_get(add(&s, 1, "here"), 0)->gry.has_outcome = false;
 	bal_target_get(dir_target_find(s.dir, "1"), 0)->sent_us = INT64_MIN / 2;
 	dir_target_find(s.dir, "1")->warm_us = s.wish.now_us + 3 * SECOND;
 	run(&s);
