--- a/src/bal.c
+++ b/src/bal.c
@@ -9,7 +9,8 @@
  * in flight than then, or until this time has passed: the counts reported by
  * other nodes are slightly stale. */
 #define FULL_COOLDOWN_US (1500 * FS_US_PER_MS)
-/* By then the target was removed or its new entry has arrived. */
+/* A target whose address belongs to another server is skipped this long: by
+ * then it was removed or its new entry has arrived. */
 #define WRONG_SERVER_COOLDOWN_US (2 * FS_US_PER_S)
 /* A target in its warm-up takes about twice as long. */
 #define WARM_UP_FACTOR 2.0
@@ -20,9 +21,8 @@
  * for all nodes until they receive the counts of each other. Each node skips
  * this share of the targets at random, so that not all select the same one. */
 #define SKIP_SHARE 0.8
-#define PROPAGATION_US \
-	(300 * FS_US_PER_MS) /* until nodes receive the counts of a send */
-#define SAMPLE_MAX 64	     /* targets per selection */
+#define PROPAGATION_US (300 * FS_US_PER_MS) /* until a send is reported */
+#define SAMPLE_MAX 64			    /* targets per selection */
 /* Extra idle time before a trial of a target in another failure domain: the
  * nodes there try it first. */
 #define CROSS_DOMAIN_DELAY_US (1500 * FS_US_PER_MS)
