--- a/tests/unit_bal.c
+++ b/tests/unit_bal.c
@@ -26,8 +26,8 @@
 /* The floor allows 0.3; half of it where a trial costs no request. */
 #define RECOVERED_IDLE_MAX 0.15
 #define RECOVERED_IDLE_ONCE_MAX 0.3
-#define KNOWN_FAULTY_RATE_MAX \
-	1.0 /* requests per second to a target in a fault */
+/* Requests per second to a target in a fault episode. */
+#define KNOWN_FAULTY_RATE_MAX 1.0
 
 /** A service and its load. */
 struct load {
