--- a/src/aud_replay_fleet.c
+++ b/src/aud_replay_fleet.c
@@ -131,7 +131,7 @@
 {
 	int64_t judged = c->n[5];
 
-	if (!flr_room(c->n[0], c->n[1], c->n[2]))
+	if (!flr_has_headroom(c->n[0], c->n[1], c->n[2]))
 		return "count - out - 1 < floor: the floor is broken";
 	if (judged < AUD_R_STEER_STALL || judged > AUD_R_STEER_CONNECT)
 		return "judged is not a rule that calls a server sick";
@@ -145,7 +145,7 @@
 
 static const char *check_eject_floor(const struct aud_case *c)
 {
-	if (flr_room(c->n[0], c->n[1], c->n[2]))
+	if (flr_has_headroom(c->n[0], c->n[1], c->n[2]))
 		return "count - out - 1 >= floor: there was room";
 	if (check_choice(c, "kept"))
 		return check_choice(c, "kept");
--- a/src/dsp_shard.c
+++ b/src/dsp_shard.c
@@ -213,7 +213,7 @@
 		return load;
 	dsp_shard_slots(shard, true, now_us, slots);
 	for (uint32_t i = 0; i < shard->count; i++) {
-		if (slt_room(&slots[i]))
+		if (slt_has_capacity(&slots[i]))
 			load.free_slots +=
 				slots[i].allowed - slots[i].in_flight;
 	}
