--- a/src/gwy_choose.c
+++ b/src/gwy_choose.c
@@ -56,7 +56,7 @@
 	struct bal_choice choice;
 	struct bal_wish wish = {
 		.domain = gwy->node->set.domain,
-		.mean_us = lod_mean(gwy->lod, service),
+		.mean_us = lod_mean_latency(gwy->lod, service),
 		.failure_us = objective_us * (gwy_route_of(req)->repeatable ?
 						      FAILURE_REPEATABLE :
 						      FAILURE_ONCE),
@@ -65,7 +65,7 @@
 		.repeatable = gwy_route_of(req)->repeatable,
 		.avoid = avoid,
 		.avoid_count = tried(req, avoid),
-		.rate = lod_rate(gwy->lod, service, now_us),
+		.rate = lod_request_rate(gwy->lod, service, now_us),
 		.domain_share = gwy->domain_share,
 		.now_us = now_us,
 		.random = gwy_random(gwy),
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -17,7 +17,8 @@
 
 int64_t gwy_overdue_us(const struct gwy_request *req)
 {
-	int64_t mean_us = lod_mean(req->gwy->lod, gwy_service_name(req));
+	int64_t mean_us =
+		lod_mean_latency(req->gwy->lod, gwy_service_name(req));
 
 	return (int64_t)MAX((double)mean_us * OVERDUE_MEANS,
 			    (double)gwy_choose_objective(req) * OVERDUE_SHARE);
@@ -25,7 +26,8 @@
 
 int64_t gwy_overdue_last_us(const struct gwy_request *req)
 {
-	int64_t mean_us = lod_mean(req->gwy->lod, gwy_service_name(req));
+	int64_t mean_us =
+		lod_mean_latency(req->gwy->lod, gwy_service_name(req));
 
 	return MAX(req->deadline_us -
 			   (int64_t)(LAST_CHANCE_MEANS * (double)mean_us),
@@ -43,7 +45,7 @@
 		    now_us - t->started_us < t->wait_us + late_us)
 			continue;
 		t->overdue = true;
-		lod_outcome(req->gwy->lod, t->target, GRY_OVERDUE, 0);
+		lod_record_outcome(req->gwy->lod, t->target, GRY_OVERDUE, 0);
 	}
 }
 
@@ -57,8 +59,8 @@
 					   now_us) >= HEDGE_FAILURE)
 		return true;
 	return now_us >= gwy_overdue_last_us(req) &&
-	       lod_budget_left(req->gwy->lod, gwy_service_name(req), rule,
-			       now_us) > rule->slack * LAST_CHANCE_BUDGET;
+	       lod_retry_budget_left(req->gwy->lod, gwy_service_name(req), rule,
+				     now_us) > rule->slack * LAST_CHANCE_BUDGET;
 }
 
 bool gwy_overdue_doubtful(struct gwy_request *req, int64_t now_us)
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -16,7 +16,8 @@
 		.age_us = now_us - req->started_us,
 		.left_us = req->deadline_us - now_us,
 		.objective_us = gwy_choose_objective(req),
-		.mean_us = lod_mean(req->gwy->lod, gwy_service_name(req)),
+		.mean_us =
+			lod_mean_latency(req->gwy->lod, gwy_service_name(req)),
 		.wait_us = choice->wait_us,
 		.room = choice->target != NULL,
 		.offered = req->try_count > 0,
@@ -54,7 +55,7 @@
 	if (t->target->gone)
 		return;
 	bal_of(t->target, t->started_us)->own--;
-	lod_change(t->req->gwy->lod, t->target);
+	lod_in_flight_changed(t->req->gwy->lod, t->target);
 }
 
 static void set_timer(struct gwy_request *req, int64_t now_us)
@@ -116,10 +117,11 @@
 	req->running++;
 	bal_of(t->target, now_us)->own++;
 	bal_of(t->target, now_us)->sent_us = now_us;
-	lod_change(req->gwy->lod, t->target);
+	lod_in_flight_changed(req->gwy->lod, t->target);
 	if (req->sent) {
 		bud_repeat(budget_of(req), &req->gwy->budget_rule, now_us);
-		lod_sent(req->gwy->lod, gwy_service_name(req), 0, 1, 0);
+		lod_record_requests(req->gwy->lod, gwy_service_name(req), 0, 1,
+				    0);
 	}
 	req->sent++;
 	ctr_count(req->gwy->node->ctr, "gwy_sends", 1);
@@ -184,8 +186,8 @@
 	struct gwy *gwy = req->gwy;
 	double own =
 		bud_left(budget_of(req), &gwy->budget_rule, gwy->alive, now_us);
-	double pool = lod_budget_left(gwy->lod, gwy_service_name(req),
-				      &gwy->budget_rule, now_us);
+	double pool = lod_retry_budget_left(gwy->lod, gwy_service_name(req),
+					    &gwy->budget_rule, now_us);
 	double recent = bud_recent(budget_of(req), &gwy->budget_rule, now_us);
 
 	return MAX(own, pool / gwy->alive - recent);
@@ -253,7 +255,7 @@
 {
 	req->state = GWY_WAITING;
 	bud_request(budget_of(req), &req->gwy->budget_rule, now_us);
-	lod_sent(req->gwy->lod, gwy_service_name(req), 1, 0, 0);
+	lod_record_requests(req->gwy->lod, gwy_service_name(req), 1, 0, 0);
 	send_or_refuse(req, now_us);
 }
 
@@ -279,8 +281,8 @@
 		return;
 	t->overdue |= outcome == GRY_OVERDUE;
 	/* The wait for a slot says nothing of how fast the target works. */
-	lod_outcome(t->req->gwy->lod, t->target, outcome,
-		    MAX(t->took_us - t->wait_us, t->took_us / 4));
+	lod_record_outcome(t->req->gwy->lod, t->target, outcome,
+			   MAX(t->took_us - t->wait_us, t->took_us / 4));
 }
 
 static bool is_not_run(const struct gwy_try *t, const struct tgt_end *end,
@@ -444,7 +446,8 @@
 		struct gwy_try *t = &req->tries[i];
 
 		if (t->held && !t->overdue)
-			lod_outcome(req->gwy->lod, t->target, GRY_OVERDUE, 0);
+			lod_record_outcome(req->gwy->lod, t->target,
+					   GRY_OVERDUE, 0);
 	}
 	gwy_request_stop_tries(req);
 	gwy_answer_refuse(
--- a/src/lod_judge.c
+++ b/src/lod_judge.c
@@ -20,7 +20,7 @@
 /* Such an answer did no work; it says nothing about the time that work takes. */
 #define WORK_MIN_US (10 * FS_US_PER_MS)
 
-bool lod_judge_trusts(struct lod *lod, const struct lod_evidence *e)
+bool lod_evidence_is_reliable(struct lod *lod, const struct lod_evidence *e)
 {
 	double *bad = g_hash_table_lookup(lod->trust, &e->origin);
 	bool path = gry_is_path(e->outcome);
@@ -36,8 +36,8 @@
 	return !path || *bad < PATH_DISTRUST;
 }
 
-void lod_judge_queue(const struct lod *lod, struct lod_queue *queue,
-		     const struct lod_evidence *e)
+void lod_evidence_enqueue(const struct lod *lod, struct lod_queue *queue,
+			  const struct lod_evidence *e)
 {
 	struct dir_target *target = dir_target_by_hash(lod->dir, e->target);
 	int64_t now_us = fs_now_us();
@@ -62,13 +62,13 @@
 static void add_time(struct lod *lod, struct dir_target *target, int64_t us,
 		     int64_t now_us)
 {
-	struct lod_mean *mean =
+	struct lod_mean_latency *mean =
 		g_hash_table_lookup(lod->means, target->entry.service);
 
 	if (us < WORK_MIN_US)
 		return;
 	if (!mean) {
-		mean = g_new0(struct lod_mean, 1);
+		mean = g_new0(struct lod_mean_latency, 1);
 		g_hash_table_insert(lod->means, g_strdup(target->entry.service),
 				    mean);
 	}
@@ -94,7 +94,7 @@
 		      failure);
 }
 
-void lod_judge(struct lod *lod, const struct lod_evidence *e, bool own)
+void lod_evidence_apply(struct lod *lod, const struct lod_evidence *e, bool own)
 {
 	struct dir_target *target = dir_target_by_hash(lod->dir, e->target);
 	double weight = own ? 1.0 : weight_of(e);
@@ -117,9 +117,10 @@
 		log_change(lod, target, e, own, !was, gry_failure(gry, now_us));
 }
 
-int64_t lod_mean(const struct lod *lod, const char *service)
+int64_t lod_mean_latency(const struct lod *lod, const char *service)
 {
-	const struct lod_mean *mean = g_hash_table_lookup(lod->means, service);
+	const struct lod_mean_latency *mean =
+		g_hash_table_lookup(lod->means, service);
 
 	return mean ? (int64_t)mean->us : 0;
 }
