--- a/src/lod.h
+++ b/src/lod.h
@@ -1,22 +1,25 @@
 /**
  * @file lod.h
- * @brief Load exchange: what all nodes together have at each target, how that
- * went, and how much of the budget for repeats is used.
+ * @brief Load exchange: fleet-wide in-flight requests and outcomes of each
+ * target, and use of the retry budget.
  *
- * Each node reports to the hub of its failure domain: its requests at each
- * target, the outcomes since the last report, and its sends. The hub adds up
- * and tells all nodes of its domain and the hubs of the others, which pass it
- * on. So messages grow with the nodes, not with their square, and only hubs
- * send between domains. A second node gets the reports too, and speaks if the
- * hub falls silent. Hubs follow from membership: there is no election.
+ * Each node reports to the hub of its failure domain: its in-flight requests
+ * at each target, the outcomes since the last report, and its requests and
+ * retries. The hub adds them up and broadcasts a digest to the nodes of its
+ * domain and to the hubs of the other domains, which forward it. So messages
+ * grow linearly with the nodes, not with their square, and only hubs send
+ * between domains. A standby node receives the reports too, and becomes
+ * active when the hub times out. Hubs follow from membership: there is no
+ * election.
  *
- * Outcomes go as evidence, with the node that saw them, not as verdicts: every
- * node judges by itself (gry.h). A hub does not pass on what a node tells of ways
- * once most of them are bad: that node's own way is. Failures go at once and
- * first (lod_queue.h).
+ * Outcomes are sent as evidence, with the node that observed them, not as
+ * health states: every node evaluates them itself (gry.h). A hub does not
+ * forward a node's path failures while most of that node's outcomes are of
+ * that kind: its own network path is at fault then. Failures are sent at once
+ * and first (lod_queue.h).
  *
- * Datagrams may be lost. Counts are told again and again, and lapse after
- * LOD_COUNT_EXPIRY_US if they are not; an outcome that is lost is missed.
+ * Datagrams may be lost. Counts are resent periodically and expire after
+ * LOD_COUNT_EXPIRY_US otherwise; a lost outcome is not resent.
  */
 #ifndef LOD_H
 #define LOD_H
--- a/src/lod_counts.h
+++ b/src/lod_counts.h
@@ -1,11 +1,12 @@
 /**
  * @file lod_counts.h
- * @brief What a failure domain has at each target, as its hub told it. Pure.
+ * @brief In-flight requests of a failure domain at each target, as its hub
+ * reported them. Pure.
  *
- * A hub repeats a count at least every LOD_REFRESH_INTERVAL_US. One that is not repeated
- * lapses: the datagram that set it to zero may be lost, and a hub that takes
- * over does not know what the one before told. Without that, a target would
- * look busy for good and get no work.
+ * A hub resends a count at least every LOD_REFRESH_INTERVAL_US. One that is
+ * not resent expires: the datagram that set it to zero may be lost, and a new
+ * hub does not know what its predecessor sent. Without expiry, a target would
+ * look busy forever and get no requests.
  */
 #ifndef LOD_COUNTS_H
 #define LOD_COUNTS_H
--- a/src/lod_impl.h
+++ b/src/lod_impl.h
@@ -10,27 +10,27 @@
 #include "lod_queue.h"
 #include "lod_wire.h"
 
-/* A node reports changes at most so often; with many nodes less often, so that
- * a hub takes at most two hundred reports a second. */
+/* Least interval between reports of a node. It grows with the domain, so that
+ * a hub receives at most 200 reports/s. */
 #define LOD_REPORT_INTERVAL_US (200 * FS_US_PER_MS)
 #define LOD_REPORT_INTERVAL_PER_NODE_US (5 * FS_US_PER_MS)
 #define LOD_REFRESH_INTERVAL_US \
-	(1000 * FS_US_PER_MS) /* unchanged counts again */
+	(1000 * FS_US_PER_MS) /* resend of unchanged counts */
 #define LOD_DIGEST_INTERVAL_US \
 	(200 * FS_US_PER_MS) /* between digests of a hub */
-/* A failure is told at once, but not more often than this: until others hear
- * of it they go on sending to the target. */
+/* Least interval between reports of failures. Other nodes keep sending to the
+ * target until they receive the report. */
 #define LOD_URGENT_REPORT_INTERVAL_US (20 * FS_US_PER_MS)
-/* A hub sends a digest to each node of its domain: the pause grows with them,
- * so that it sends at most five hundred urgent datagrams a second. */
+/* A hub sends a digest to each node of its domain: the interval grows with
+ * them, so that it sends at most 500 urgent datagrams/s. */
 #define LOD_URGENT_DIGEST_INTERVAL_US (40 * FS_US_PER_MS)
 #define LOD_URGENT_DIGEST_PER_NODE_US (2 * FS_US_PER_MS)
 /* Of the digests for another domain, the second choice there gets one in so
  * many: with five a second the news is no older than its silence. */
 #define LOD_STANDBY_DIGEST_RATIO 4u
-/* What the feed task told is not told on once it is older than this. */
+/* An older state of the feed task is not sent with digests. */
 #define LOD_FEED_MAX_AGE_US (300 * FS_US_PER_MS)
-/* The second choice speaks when the hub was silent for so long. */
+/* The standby becomes active after this time without a digest of the hub. */
 #define LOD_HUB_TIMEOUT_US (700 * FS_US_PER_MS)
 
 /** Another node of this failure domain, as a hub knows it. */
@@ -50,19 +50,19 @@
 	struct lod_counts counts; /* requests in that domain */
 };
 
-/** Mean time of good answers of a service. */
+/** Mean latency of successful answers of a service. */
 struct lod_mean_latency {
 	double us;
 	uint32_t count;
 };
 
-/** What the whole fleet sent a service. */
+/** Fleet-wide requests for a service. */
 struct lod_service_stats {
 	struct bud budget;
 	double unserved; /* share of requests, of the last fifty or so */
 };
 
-/** What a hub told last of a target. */
+/** What a hub last broadcast of a target. */
 struct lod_last_broadcast {
 	uint32_t requests;
 	int64_t at_us;
@@ -108,7 +108,7 @@
 	struct lod_feed feed;	/* of this node's feed task */
 	int64_t feed_us;	/* when it was told */
 	handle sent, received, refused;
-	handle left; /* counts that found no room in a datagram */
+	handle left; /* counts that did not fit in a datagram */
 };
 
 /** Names a service or failure domain in datagrams. */
@@ -147,7 +147,7 @@
 void lod_send_to_node(struct lod *lod, const GByteArray *data, node_id to);
 void lod_broadcast_domain(struct lod *lod, const GByteArray *data);
 
-/** Returns whether this node speaks for its domain now. */
+/** Returns whether this node is the active hub of its domain. */
 bool lod_hub_is_active(const struct lod *lod, int64_t now_us);
 
 /* This node (lod.c) */
@@ -156,11 +156,11 @@
 void lod_start_packet(struct lod *lod, struct lod_packet *packet,
 		      enum lod_type type);
 
-/** Takes a digest, told by a hub or passed on by one. */
+/** Applies a digest that a hub sent or forwarded. */
 void lod_apply_digest(struct lod *lod, const struct lod_packet *packet,
 		      int64_t now_us);
 
-/** Has what waits told before the next tick. */
+/** Schedules a flush of pending failures before the next tick. */
 void lod_schedule_flush(struct lod *lod, int64_t at_us, int64_t now_us);
 
 /** Adds sends to a table of struct lod_service_counts. */
--- a/src/lod_queue.h
+++ b/src/lod_queue.h
@@ -1,12 +1,11 @@
 /**
  * @file lod_queue.h
- * @brief Outcomes that wait to be told, the most telling first. Pure.
+ * @brief Priority queue of outcomes to be sent. Pure.
  *
- * Failures go before good answers, in the order in which they came. Good
- * answers of one target become one row; those of a target that is in doubt go
- * before the others, which only say that nothing has changed: what of them
- * finds no room in a datagram is dropped, so that the bytes of good news do
- * not grow with the requests.
+ * Failures come first, in order of arrival. Successes of one target are merged
+ * into one row. Successes of degraded targets come before the others, which
+ * only say that nothing has changed: those that do not fit in a datagram are
+ * dropped, so that the bytes do not grow with the request rate.
  */
 #ifndef LOD_QUEUE_H
 #define LOD_QUEUE_H
