--- a/src/lod.h
+++ b/src/lod.h
@@ -14,8 +14,8 @@
  *
  * Outcomes are sent as evidence, with the node that observed them, not as
  * health states: every node evaluates them itself (gry.h). A hub does not
- * forward a node's path failures while most of that node's outcomes are of
- * that kind: its own network path is at fault then. Failures are sent at once
+ * forward a node's path failures once they are 40 % or more of that node's
+ * outcomes: its own network path is at fault then. Failures are sent at once
  * and first (lod_queue.h).
  *
  * Datagrams may be lost. Counts are resent periodically and expire after
--- a/src/lod_impl.h
+++ b/src/lod_impl.h
@@ -89,10 +89,9 @@
 	int64_t reported_us;
 	/* What is known */
 	GHashTable *domains; /* hash to struct lod_domain */
-	GHashTable *
-		trust; /* as a hub: node_id * to double *, lod_evidence_apply.c */
-	GHashTable *means; /* service name to struct lod_mean_latency */
-	GHashTable *pools; /* service hash to struct lod_service_stats */
+	GHashTable *trust;   /* as a hub: node_id * to double *, lod_judge.c */
+	GHashTable *means;   /* service name to struct lod_mean_latency */
+	GHashTable *pools;   /* service hash to struct lod_service_stats */
 	struct bud_rule rule;
 	/* As a hub */
 	node_id hubs[2]; /* of this domain: first and second choice */
@@ -117,7 +116,7 @@
 	return (uint32_t)fs_node_id(name);
 }
 
-/* Judging (lod_evidence_apply.c) */
+/* Health evaluation (lod_judge.c) */
 
 /** Applies outcomes to a target that this node sees. */
 void lod_evidence_apply(struct lod *lod, const struct lod_evidence *e,
