--- a/src/gwy_choose.c
+++ b/src/gwy_choose.c
@@ -54,7 +54,7 @@
 	const struct dir_service *targets = dir_find(gwy->dir, service);
 	int64_t objective_us = gwy_choose_objective(req);
 	struct bal_choice choice;
-	struct bal_wish wish = {
+	struct bal_query wish = {
 		.domain = gwy->node->set.domain,
 		.mean_us = lod_mean_latency(gwy->lod, service),
 		.failure_us = objective_us * (gwy_route_of(req)->repeatable ?
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -55,8 +55,9 @@
 {
 	const struct bud_rule *rule = &req->gwy->budget_rule;
 
-	if (t->target->gone || gry_failure(&bal_of(t->target, now_us)->gry,
-					   now_us) >= HEDGE_FAILURE)
+	if (t->target->gone ||
+	    gry_failure_probability(&bal_target_get(t->target, now_us)->gry,
+				    now_us) >= HEDGE_FAILURE)
 		return true;
 	return now_us >= gwy_overdue_last_us(req) &&
 	       lod_retry_budget_left(req->gwy->lod, gwy_service_name(req), rule,
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -54,7 +54,7 @@
 	t->req->running--;
 	if (t->target->gone)
 		return;
-	bal_of(t->target, t->started_us)->own--;
+	bal_target_get(t->target, t->started_us)->own--;
 	lod_in_flight_changed(t->req->gwy->lod, t->target);
 }
 
@@ -115,8 +115,8 @@
 	t->wait_us = choice->wait_us;
 	t->held = true;
 	req->running++;
-	bal_of(t->target, now_us)->own++;
-	bal_of(t->target, now_us)->sent_us = now_us;
+	bal_target_get(t->target, now_us)->own++;
+	bal_target_get(t->target, now_us)->sent_us = now_us;
 	lod_in_flight_changed(req->gwy->lod, t->target);
 	if (req->sent) {
 		bud_repeat(budget_of(req), &req->gwy->budget_rule, now_us);
@@ -269,8 +269,8 @@
 	if (t->err)
 		return GRY_BROKEN;
 	if (t->not_run)
-		return t->status == 421 ? GRY_OTHER : GRY_FULL;
-	return t->status >= 500 ? GRY_FAILED : GRY_GOOD;
+		return t->status == 421 ? GRY_WRONG_SERVER : GRY_FULL;
+	return t->status >= 500 ? GRY_FAILED : GRY_SUCCESS;
 }
 
 static void tell_outcome(struct gwy_try *t)
--- a/src/lod.c
+++ b/src/lod.c
@@ -30,7 +30,7 @@
 		.target = target->hash,
 		.outcome = outcome,
 		.count = 1,
-		.took_us = outcome == GRY_GOOD ? took_us : 0,
+		.took_us = outcome == GRY_SUCCESS ? took_us : 0,
 	};
 
 	int64_t now_us = fs_now_us();
@@ -38,7 +38,7 @@
 	lod->changed = true;
 	lod_evidence_enqueue(lod, &lod->evidence, &e);
 	lod_evidence_apply(lod, &e, true);
-	if (outcome == GRY_GOOD || outcome == GRY_FULL)
+	if (outcome == GRY_SUCCESS || outcome == GRY_FULL)
 		return;
 	lod->urgent = true;
 	lod_schedule_flush(
@@ -146,7 +146,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		total += lod_counts_get(&((struct lod_domain *)value)->counts,
 					hash);
-	bal_of(target, fs_now_us())->others = total - MIN(own, total);
+	bal_target_get(target, fs_now_us())->others = total - MIN(own, total);
 }
 
 static void note_send(struct lod *lod, const struct lod_target_count *c,
@@ -157,7 +157,7 @@
 
 	if (!target || c->sent_ago_us >= LOD_SENT_AGO_MAX_US)
 		return;
-	kept = bal_of(target, now_us);
+	kept = bal_target_get(target, now_us);
 	kept->sent_us = MAX(kept->sent_us, now_us - c->sent_ago_us);
 }
 
@@ -271,8 +271,9 @@
 			ctr_add(lod->node->ctr, lod->left, 1);
 			continue;
 		}
-		c.requests = bal_of(target, now_us)->own;
-		c.sent_ago_us = now_us - bal_of(target, now_us)->sent_us;
+		c.requests = bal_target_get(target, now_us)->own;
+		c.sent_ago_us =
+			now_us - bal_target_get(target, now_us)->sent_us;
 		g_array_append_val(packet->counts, c);
 		if (c.requests)
 			g_hash_table_insert(lod->own, hash,
--- a/src/lod_judge.c
+++ b/src/lod_judge.c
@@ -23,7 +23,7 @@
 bool lod_evidence_is_reliable(struct lod *lod, const struct lod_evidence *e)
 {
 	double *bad = g_hash_table_lookup(lod->trust, &e->origin);
-	bool path = gry_is_path(e->outcome);
+	bool path = gry_may_be_path_fault(e->outcome);
 
 	if (!bad) {
 		bad = g_new0(double, 1);
@@ -44,8 +44,9 @@
 	uint64_t dropped = queue->dropped;
 
 	lod_queue_add(queue, e,
-		      target && gry_failure(&bal_of(target, now_us)->gry,
-					    now_us) > DOUBT);
+		      target && gry_failure_probability(
+					&bal_target_get(target, now_us)->gry,
+					now_us) > DOUBT);
 	if (queue->dropped > dropped)
 		ctr_count(lod->node->ctr, "lod_evidence_dropped",
 			  queue->dropped - dropped);
@@ -54,7 +55,7 @@
 /* How far an outcome that another node told counts here. */
 static double weight_of(const struct lod_evidence *e)
 {
-	if (!gry_is_path(e->outcome))
+	if (!gry_may_be_path_fault(e->outcome))
 		return 1.0;
 	return e->outcome == GRY_UNREACHABLE ? UNREACHABLE_TRUST : PATH_TRUST;
 }
@@ -73,8 +74,8 @@
 				    mean);
 	}
 	if (mean->count >= MEAN_FIRST)
-		gry_note_time(&bal_of(target, now_us)->gry, us,
-			      (int64_t)mean->us, now_us);
+		gry_record_response_time(&bal_target_get(target, now_us)->gry,
+					 us, (int64_t)mean->us, now_us);
 	mean->count++;
 	mean->us +=
 		MAX(MEAN_WEIGHT, 1.0 / mean->count) * ((double)us - mean->us);
@@ -104,17 +105,18 @@
 
 	if (!target)
 		return;
-	gry = &bal_of(target, now_us)->gry;
-	was = gry_is_suspect(gry, now_us);
+	gry = &bal_target_get(target, now_us)->gry;
+	was = gry_is_suspected(gry, now_us);
 	for (uint32_t i = 0; i < e->count; i++) {
-		gry_note(gry, e->outcome, weight, now_us);
+		gry_record_outcome(gry, e->outcome, weight, now_us);
 		if (e->outcome == GRY_FULL)
 			bal_note_full(target, now_us);
-		if (e->outcome == GRY_GOOD)
+		if (e->outcome == GRY_SUCCESS)
 			add_time(lod, target, e->took_us / e->count, now_us);
 	}
-	if (was != gry_is_suspect(gry, now_us))
-		log_change(lod, target, e, own, !was, gry_failure(gry, now_us));
+	if (was != gry_is_suspected(gry, now_us))
+		log_change(lod, target, e, own, !was,
+			   gry_failure_probability(gry, now_us));
 }
 
 int64_t lod_mean_latency(const struct lod *lod, const char *service)
--- a/src/lod_queue.c
+++ b/src/lod_queue.c
@@ -37,7 +37,7 @@
 {
 	GArray *good = in_doubt ? queue->doubtful : queue->good;
 
-	if (e->outcome == GRY_GOOD) {
+	if (e->outcome == GRY_SUCCESS) {
 		if (!merge(good, e, false))
 			g_array_append_val(good, *e);
 		return;
--- a/src/lod_use.c
+++ b/src/lod_use.c
@@ -35,7 +35,7 @@
 {
 	struct survey *survey = arg;
 	const struct bal_target *kept = target->judge;
-	bool suspected = kept && gry_is_suspect(&kept->gry, survey->now_us);
+	bool suspected = kept && gry_is_suspected(&kept->gry, survey->now_us);
 	struct use *use;
 
 	if (target->entry.leaving)
--- a/tests/unit_lod.c
+++ b/tests/unit_lod.c
@@ -128,7 +128,7 @@
 		.target = target,
 		.outcome = what,
 		.count = 1,
-		.took_us = what == GRY_GOOD ? 1000 : 0,
+		.took_us = what == GRY_SUCCESS ? 1000 : 0,
 	};
 }
 
@@ -143,10 +143,10 @@
 
 	lod_queue_init(&queue);
 	for (uint32_t i = 0; i < 100; i++) {
-		e = outcome(i, GRY_GOOD);
+		e = outcome(i, GRY_SUCCESS);
 		lod_queue_add(&queue, &e, false);
 	}
-	e = outcome(200, GRY_GOOD);
+	e = outcome(200, GRY_SUCCESS);
 	lod_queue_add(&queue, &e, true);
 	e = outcome(300, GRY_FAILED);
 	lod_queue_add(&queue, &e, true);
@@ -173,7 +173,7 @@
 
 	lod_queue_init(&queue);
 	for (int i = 0; i < 4; i++) {
-		struct lod_evidence good = outcome(7, GRY_GOOD);
+		struct lod_evidence good = outcome(7, GRY_SUCCESS);
 		struct lod_evidence bad = outcome(7, GRY_BROKEN);
 
 		good.origin = bad.origin = 1 + (node_id)i / 2;
