--- a/src/lod.c
+++ b/src/lod.c
@@ -37,7 +37,7 @@
 
 	lod->changed = true;
 	lod_evidence_enqueue(lod, &lod->evidence, &e);
-	lod_judge(lod, &e, true);
+	lod_evidence_apply(lod, &e, true);
 	if (outcome == GRY_SUCCESS || outcome == GRY_FULL)
 		return;
 	lod->urgent = true;
@@ -225,7 +225,7 @@
 			packet->evidence, struct lod_evidence, i);
 
 		if (e->origin != lod->node->self)
-			lod_judge(lod, e, false);
+			lod_evidence_apply(lod, e, false);
 	}
 	for (guint i = 0; i < packet->sends->len; i++)
 		take_sends(lod,
--- a/src/lod_judge.c
+++ b/src/lod_judge.c
@@ -95,7 +95,7 @@
 		      failure);
 }
 
-void lod_judge(struct lod *lod, const struct lod_evidence *e, bool own)
+void lod_evidence_apply(struct lod *lod, const struct lod_evidence *e, bool own)
 {
 	struct dir_target *target = dir_target_by_hash(lod->dir, e->target);
 	double weight = own ? 1.0 : weight_of(e);
