--- a/src/dsp_exchange.c
+++ b/src/dsp_exchange.c
@@ -15,7 +15,7 @@
 }
 
 static enum hlt_result result_of(const struct dsp_run *run,
-				 const struct tgt_end *end)
+				 const struct tgt_result *end)
 {
 	uint32_t status = tgt_status(run->tgt);
 
@@ -71,7 +71,7 @@
 }
 
 bool dsp_exchange_again(struct dsp_run *run, bool written, bool same,
-			int64_t now_us, struct rty_numbers *n)
+			int64_t now_us, struct rty_input *n)
 {
 	const char *service = run->m->request.service;
 
@@ -93,7 +93,7 @@
 static bool decide_again(struct dsp_run *run, bool written, bool same,
 			 int64_t now_us)
 {
-	struct rty_numbers n;
+	struct rty_input n;
 	bool again = dsp_exchange_again(run, written, same, now_us, &n);
 
 	dsp_audit_retry(run, &n, again, now_us);
@@ -111,7 +111,7 @@
 	run->tgt = NULL;
 }
 
-static void note_good(struct dsp_run *run, const struct tgt_end *end,
+static void note_good(struct dsp_run *run, const struct tgt_result *end,
 		      int64_t now_us)
 {
 	struct dsp_route *route = dsp_route_of(run);
@@ -121,7 +121,7 @@
 }
 
 /* A whole answer: passed on, unless another try may do better. */
-static void answered(struct dsp_run *run, const struct tgt_end *end,
+static void answered(struct dsp_run *run, const struct tgt_result *end,
 		     int64_t now_us)
 {
 	uint32_t status = tgt_status(run->tgt);
@@ -152,7 +152,7 @@
 	dsp_run_end(run, outcome, now_us);
 }
 
-static void failed(struct dsp_run *run, const struct tgt_end *end,
+static void failed(struct dsp_run *run, const struct tgt_result *end,
 		   int64_t now_us)
 {
 	int err = end->err;
@@ -176,7 +176,7 @@
 	dsp_run_refuse(run, err, dsp_run_outcome(run), 0, now_us);
 }
 
-static void on_done(void *arg, struct tgt *tgt, const struct tgt_end *end)
+static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *end)
 {
 	struct dsp_run *run = arg;
 	struct dsp_shard *shard = run->shard;
@@ -215,7 +215,7 @@
 static bool on_silent(void *arg, struct tgt *tgt)
 {
 	struct dsp_run *run = arg;
-	struct rty_numbers n;
+	struct rty_input n;
 
 	return dsp_exchange_again(run, tgt_written(tgt), tgt_reused(tgt),
 				  fs_now_us(), &n);
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -24,7 +24,7 @@
 			    (double)gwy_choose_objective(req) * OVERDUE_SHARE);
 }
 
-int64_t gwy_overdue_last_us(const struct gwy_request *req)
+int64_t gwy_overdue_hedge_latest_us(const struct gwy_request *req)
 {
 	int64_t mean_us =
 		lod_mean_latency(req->gwy->lod, gwy_service_name(req));
@@ -34,12 +34,12 @@
 		   req->tries[0].started_us + gwy_overdue_us(req));
 }
 
-void gwy_overdue_note(struct gwy_request *req, int64_t now_us)
+void gwy_overdue_report(struct gwy_request *req, int64_t now_us)
 {
 	int64_t late_us = gwy_overdue_us(req);
 
 	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_try *t = &req->tries[i];
+		struct gwy_attempt *t = &req->tries[i];
 
 		if (!t->held || t->overdue ||
 		    now_us - t->started_us < t->wait_us + late_us)
@@ -50,7 +50,7 @@
 }
 
 /* Returns whether an answer that is overdue will likely not come in time. */
-static bool is_doubtful(struct gwy_request *req, const struct gwy_try *t,
+static bool is_doubtful(struct gwy_request *req, const struct gwy_attempt *t,
 			int64_t now_us)
 {
 	const struct bud_rule *rule = &req->gwy->budget_rule;
@@ -59,14 +59,14 @@
 	    gry_failure_probability(&bal_target_get(t->target, now_us)->gry,
 				    now_us) >= HEDGE_FAILURE)
 		return true;
-	return now_us >= gwy_overdue_last_us(req) &&
+	return now_us >= gwy_overdue_hedge_latest_us(req) &&
 	       lod_retry_budget_left(req->gwy->lod, gwy_service_name(req), rule,
 				     now_us) > rule->slack * LAST_CHANCE_BUDGET;
 }
 
-bool gwy_overdue_doubtful(struct gwy_request *req, int64_t now_us)
+bool gwy_overdue_should_hedge(struct gwy_request *req, int64_t now_us)
 {
-	const struct gwy_try *t = &req->tries[req->try_count - 1];
+	const struct gwy_attempt *t = &req->tries[req->try_count - 1];
 	struct bal_choice choice;
 
 	if (!gwy_route_of(req)->repeatable || req->running != 1 ||
--- a/tests/unit_gwy.c
+++ b/tests/unit_gwy.c
@@ -324,7 +324,7 @@
 	g_hash_table_iter_init(&iter, y.gwy->requests);
 	g_assert_true(g_hash_table_iter_next(&iter, &req, NULL));
 	g_assert_cmpuint(((struct gwy_request *)req)->running, ==, 1);
-	g_assert_false(gwy_send_again(req, fs_now_us()));
+	g_assert_false(gwy_send_retry(req, fs_now_us()));
 	g_assert_false(((struct gwy_request *)req)->parked);
 	yard_run(&y, 200 * FS_US_PER_MS);
 	g_assert_cmpuint(((struct gwy_request *)req)->running, ==, 1);
