--- a/src/bud.c
+++ b/src/bud.c
@@ -3,14 +3,14 @@
 #include <string.h>
 
 /* A tenth is left unused: a node may count more nodes as lost than are. */
-#define USED_SHARE 0.9
+#define BUDGET_SHARE 0.9
 
 /* A rate is that of so many full buckets and the one that is being filled. */
 #define RATE_BUCKETS 4u
 
 /* Clears the buckets that have passed since the last call. */
-static uint32_t turn(struct bud *bud, const struct bud_rule *rule,
-		     int64_t now_us)
+static uint32_t advance(struct bud *bud, const struct bud_rule *rule,
+			int64_t now_us)
 {
 	int64_t width_us = MAX(rule->window_us / BUD_BUCKETS, 1);
 	int64_t bucket = now_us / width_us;
@@ -28,28 +28,31 @@
 	return (uint32_t)(bucket % BUD_BUCKETS);
 }
 
-void bud_request(struct bud *bud, const struct bud_rule *rule, int64_t now_us)
+void bud_count_request(struct bud *bud, const struct bud_rule *rule,
+		       int64_t now_us)
 {
-	bud->requests[turn(bud, rule, now_us)]++;
+	bud->requests[advance(bud, rule, now_us)]++;
 }
 
-void bud_repeat(struct bud *bud, const struct bud_rule *rule, int64_t now_us)
+void bud_count_retry(struct bud *bud, const struct bud_rule *rule,
+		     int64_t now_us)
 {
-	bud->repeats[turn(bud, rule, now_us)]++;
+	bud->repeats[advance(bud, rule, now_us)]++;
 }
 
-uint32_t bud_recent(struct bud *bud, const struct bud_rule *rule,
-		    int64_t now_us)
+uint32_t bud_recent_retries(struct bud *bud, const struct bud_rule *rule,
+			    int64_t now_us)
 {
-	uint32_t newest = turn(bud, rule, now_us);
+	uint32_t newest = advance(bud, rule, now_us);
 	uint32_t before = (newest + BUD_BUCKETS - 1) % BUD_BUCKETS;
 
 	return bud->repeats[newest] + bud->repeats[before];
 }
 
-double bud_rate(struct bud *bud, const struct bud_rule *rule, int64_t now_us)
+double bud_request_rate(struct bud *bud, const struct bud_rule *rule,
+			int64_t now_us)
 {
-	uint32_t newest = turn(bud, rule, now_us);
+	uint32_t newest = advance(bud, rule, now_us);
 	double width_us = (double)MAX(rule->window_us / BUD_BUCKETS, 1);
 	double requests = 0;
 
@@ -60,18 +63,18 @@
 	       (RATE_BUCKETS * width_us + (double)(now_us % (int64_t)width_us));
 }
 
-double bud_left(struct bud *bud, const struct bud_rule *rule, uint32_t nodes,
-		int64_t now_us)
+double bud_retries_left(struct bud *bud, const struct bud_rule *rule,
+			uint32_t nodes, int64_t now_us)
 {
 	double requests = 0;
 	double repeats = 0;
 
-	turn(bud, rule, now_us);
+	advance(bud, rule, now_us);
 	for (int i = 0; i < BUD_BUCKETS; i++) {
 		requests += bud->requests[i];
 		repeats += bud->repeats[i];
 	}
-	return USED_SHARE *
+	return BUDGET_SHARE *
 		       (rule->ratio * requests + rule->slack / MAX(nodes, 1)) -
 	       repeats;
 }
--- a/src/dsp_admit.c
+++ b/src/dsp_admit.c
@@ -48,7 +48,7 @@
 	}
 	n->waiting = shard->que.count;
 	n->queue = dsp_shard_service(shard)->queue;
-	n->ahead = que_ahead(&shard->que, run->priority);
+	n->ahead = que_count_ahead(&shard->que, run->priority);
 	n->hold_us = slt_times_mean(&shard->hold);
 }
 
@@ -157,7 +157,8 @@
 /* Makes room in a full queue at the cost of a lower priority. */
 static int shed(struct dsp_run *run, int64_t now_us)
 {
-	struct que_item *item = que_victim(&run->shard->que, run->priority);
+	struct que_item *item =
+		que_find_evictable(&run->shard->que, run->priority);
 	struct dsp_run *victim;
 	struct slt_numbers n;
 
@@ -182,7 +183,7 @@
 	err = slt_admit(&n);
 	if (err && err != FS_E_QUEUE_FULL)
 		return err;
-	if (err && !que_victim(&run->shard->que, run->priority))
+	if (err && !que_find_evictable(&run->shard->que, run->priority))
 		return err;
 	key_err = take_key(run, now_us);
 	if (key_err)
--- a/src/dsp_impl.h
+++ b/src/dsp_impl.h
@@ -191,7 +191,7 @@
 void dsp_exchange_stop(struct dsp_run *run, int64_t now_us);
 /** Returns whether the run may be tried again now. */
 bool dsp_exchange_again(struct dsp_run *run, bool written, bool same,
-			int64_t now_us, struct rty_numbers *n);
+			int64_t now_us, struct rty_input *n);
 
 /* dsp_stream.c: long answers */
 void dsp_stream_begin(struct dsp_run *run, int64_t now_us);
@@ -217,7 +217,7 @@
 /** A refusal of a request that was not taken. */
 void dsp_audit_turned_away(struct dsp *dsp, const struct msg_request *request,
 			   int err, int64_t now_us);
-void dsp_audit_retry(const struct dsp_run *run, const struct rty_numbers *n,
+void dsp_audit_retry(const struct dsp_run *run, const struct rty_input *n,
 		     bool allowed, int64_t now_us);
 void dsp_audit_drain(struct dsp *dsp, const char *service, const char *server,
 		     const char *choice, int64_t now_us);
--- a/src/gwy.c
+++ b/src/gwy.c
@@ -7,31 +7,31 @@
 /* Holds the header fields of the configured limit both ways. */
 #define CONNECTION_MEMORY (40 * 1024) /* bytes */
 /* Descriptors left for targets, peers, the store and files. */
-#define OTHER_FDS 700
+#define RESERVED_FDS 700
 #define CONNECTIONS_MIN 64
-#define BODY_SHARE 4 /* bodies take a quarter of the memory at most */
+#define BODY_MEMORY_DIVISOR 4 /* bodies take a quarter of the memory at most */
 
-static void take_config(struct gwy *gwy, struct cfg *cfg)
+static void apply_config(struct gwy *gwy, struct cfg *cfg)
 {
 	cfg_unref(gwy->cfg);
 	gwy->cfg = cfg_ref(cfg);
 }
 
-static void take_view(struct gwy *gwy, struct mem_view *view)
+static void apply_view(struct gwy *gwy, struct mem_view *view)
 {
 	uint32_t local = 0;
 
 	mem_view_unref(gwy->view);
 	gwy->view = mem_view_ref(view);
-	gwy->alive = 0;
+	gwy->members_alive = 0;
 	for (uint32_t i = 0; i < view->count; i++) {
 		const struct mem_member *m = &view->members[i];
 
-		gwy->alive += m->state != MEM_DEAD;
+		gwy->members_alive += m->state != MEM_DEAD;
 		local += m->state != MEM_DEAD &&
 			 !strcmp(m->domain, gwy->node->set.domain);
 	}
-	gwy->domain_share = (double)local / MAX(gwy->alive, 1);
+	gwy->domain_share = (double)local / MAX(gwy->members_alive, 1);
 }
 
 static void receive(void *task, struct msg *m, int64_t now_us)
@@ -40,10 +40,10 @@
 
 	switch (m->type) {
 	case MSG_CONFIG:
-		take_config(gwy, m->config.cfg);
+		apply_config(gwy, m->config.cfg);
 		break;
 	case MSG_VIEW:
-		take_view(gwy, m->view.view);
+		apply_view(gwy, m->view.view);
 		break;
 	case MSG_STOP:
 		gwy_stop_begin(gwy, now_us);
@@ -71,10 +71,10 @@
 			       gwy->stopping ? "true" : "false");
 }
 
-static struct htd_limits limits_of(const struct set *set)
+static struct htd_limits connection_limits(const struct set *set)
 {
-	unsigned int fds = set->max_fds > OTHER_FDS + CONNECTIONS_MIN ?
-				   set->max_fds - OTHER_FDS :
+	unsigned int fds = set->max_fds > RESERVED_FDS + CONNECTIONS_MIN ?
+				   set->max_fds - RESERVED_FDS :
 				   CONNECTIONS_MIN;
 
 	return (struct htd_limits){
@@ -87,17 +87,17 @@
 struct gwy *gwy_new(struct node *node, const struct gwy_fields *fields,
 		    struct dir *dir)
 {
-	const struct htd_limits limits = limits_of(&node->set);
+	const struct htd_limits limits = connection_limits(&node->set);
 	struct gwy *gwy = g_new0(struct gwy, 1);
 
 	gwy->node = node;
 	gwy->fields = *fields;
 	gwy->dir = dir;
-	gwy->random = (node->self ^ node->incarnation) | 1;
-	gwy->alive = 1;
+	gwy->random_state = (node->self ^ node->incarnation) | 1;
+	gwy->members_alive = 1;
 	gwy->domain_share = 1.0;
 	gwy->started_us = fs_now_us();
-	gwy->body_bytes_max = node->set.memory_bytes / BODY_SHARE;
+	gwy->body_bytes_max = node->set.memory_bytes / BODY_MEMORY_DIVISOR;
 	gwy->budget_rule = (struct bud_rule){
 		.ratio = node->set.retry_ratio,
 		.slack = node->set.retry_slack,
@@ -105,7 +105,7 @@
 	};
 	gwy->budgets =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	gwy->sizes =
+	gwy->mean_answer_bytes =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	gwy->requests = g_hash_table_new(NULL, NULL);
 	gwy->pool = tgt_pool_new(node->loop, TGT_POOL_CONNECTIONS);
@@ -125,7 +125,7 @@
 }
 
 /* MHD may not be stopped while connections are suspended. */
-static void end_requests(struct gwy *gwy)
+static void cancel_all_requests(struct gwy *gwy)
 {
 	g_autoptr(GList) all = g_hash_table_get_keys(gwy->requests);
 	int64_t now_us = fs_now_us();
@@ -133,7 +133,7 @@
 	for (GList *l = all; l; l = l->next) {
 		struct gwy_request *req = l->data;
 
-		gwy_request_stop_tries(req);
+		gwy_request_cancel_attempts(req);
 		req->stream_failed = true;
 		if (!req->response && req->begun)
 			gwy_answer_refuse(req, FS_E_DISPATCHER_LOST, 0, now_us);
@@ -145,14 +145,14 @@
 {
 	if (!gwy)
 		return;
-	end_requests(gwy);
+	cancel_all_requests(gwy);
 	gwy_stop_end(gwy);
 	htd_stop(gwy->htd);
 	tgt_pool_free(gwy->pool);
 	lod_free(gwy->lod);
 	g_hash_table_unref(gwy->requests);
 	g_hash_table_unref(gwy->budgets);
-	g_hash_table_unref(gwy->sizes);
+	g_hash_table_unref(gwy->mean_answer_bytes);
 	cfg_unref(gwy->cfg);
 	mem_view_unref(gwy->view);
 	g_free(gwy);
--- a/src/gwy_answer.c
+++ b/src/gwy_answer.c
@@ -5,7 +5,7 @@
 #include "gwy_impl.h"
 
 #define BLOCK_SIZE (16 * 1024) /* bytes MHD asks for at a time */
-#define SIZE_WEIGHT 0.1	       /* of one more answer in a route's mean size */
+#define MEAN_SIZE_WEIGHT 0.1   /* of one more answer in a route's mean size */
 
 static void add(struct MHD_Response *response, const char *name,
 		const char *value)
@@ -13,8 +13,8 @@
 	MHD_add_response_header(response, name, value);
 }
 
-static void answer_with(struct gwy_request *req, struct MHD_Response *response,
-			unsigned int status)
+static void queue_answer(struct gwy_request *req, struct MHD_Response *response,
+			 unsigned int status)
 {
 	if (req->gwy->stopping)
 		add(response, "Connection", "close");
@@ -31,10 +31,10 @@
 	req->state = GWY_ENDED;
 }
 
-static void add_fields(struct gwy_request *req, struct MHD_Response *response,
-		       struct tgt *tgt)
+static void add_target_fields(struct gwy_request *req,
+			      struct MHD_Response *response, struct tgt *tgt)
 {
-	g_autoptr(GArray) headers = tgt_take_headers(tgt);
+	g_autoptr(GArray) headers = tgt_steal_headers(tgt);
 	g_autoptr(GArray) kept = ent_end_to_end(headers);
 
 	if (tgt_status(tgt) < 300 &&
@@ -58,26 +58,27 @@
 
 int64_t gwy_answer_mean_bytes(const struct gwy_request *req)
 {
-	const double *mean =
-		g_hash_table_lookup(req->gwy->sizes, gwy_route_of(req)->name);
+	const double *mean = g_hash_table_lookup(req->gwy->mean_answer_bytes,
+						 gwy_route_of(req)->name);
 
 	return mean ? (int64_t)*mean : 0;
 }
 
-static void note_size(struct gwy_request *req, int64_t bytes)
+static void update_mean_size(struct gwy_request *req, int64_t bytes)
 {
 	const char *route = gwy_route_of(req)->name;
-	double *mean = g_hash_table_lookup(req->gwy->sizes, route);
+	double *mean = g_hash_table_lookup(req->gwy->mean_answer_bytes, route);
 
 	if (!mean) {
 		mean = g_new(double, 1);
 		*mean = (double)bytes;
-		g_hash_table_insert(req->gwy->sizes, g_strdup(route), mean);
+		g_hash_table_insert(req->gwy->mean_answer_bytes,
+				    g_strdup(route), mean);
 	}
-	*mean += SIZE_WEIGHT * ((double)bytes - *mean);
+	*mean += MEAN_SIZE_WEIGHT * ((double)bytes - *mean);
 }
 
-static void count_time(struct gwy_request *req, int64_t now_us)
+static void observe_latency(struct gwy_request *req, int64_t now_us)
 {
 	struct ctr *ctr = req->gwy->node->ctr;
 	g_autofree char *name = g_strdup_printf("gwy_answer{service=%s}",
@@ -86,23 +87,23 @@
 	ctr_observe(ctr, ctr_histogram(ctr, name), now_us - req->started_us);
 }
 
-void gwy_answer_whole(struct gwy_try *t, int64_t now_us)
+void gwy_answer_buffered(struct gwy_attempt *t, int64_t now_us)
 {
 	struct gwy_request *req = t->req;
-	g_autoptr(GBytes) body = tgt_take(t->tgt, SIZE_MAX);
+	g_autoptr(GBytes) body = tgt_read_body(t->tgt, SIZE_MAX);
 	gsize size;
 	const void *data = g_bytes_get_data(body, &size);
 	struct MHD_Response *response = MHD_create_response_from_buffer(
 		size, (void *)data, MHD_RESPMEM_MUST_COPY);
 
-	add_fields(req, response, t->tgt);
+	add_target_fields(req, response, t->tgt);
 	if (t->status < 300)
-		note_size(req, (int64_t)size);
+		update_mean_size(req, (int64_t)size);
 	req->status = t->status;
-	count_time(req, now_us);
+	observe_latency(req, now_us);
 	ctr_count(req->gwy->node->ctr, "gwy_answers", 1);
 	end(req, "answered", now_us);
-	answer_with(req, response, t->status);
+	queue_answer(req, response, t->status);
 }
 
 void gwy_answer_refuse(struct gwy_request *req, int err, int64_t retry_after_us,
@@ -130,7 +131,7 @@
 		add(response, "Connection", "close");
 	req->status = row->status;
 	end(req, row->name, now_us);
-	answer_with(req, response, row->status);
+	queue_answer(req, response, row->status);
 }
 
 /* Gives MHD what there is. A stream that failed ends with an error: MHD closes
@@ -148,7 +149,7 @@
 		return req->stream_ended && !req->stream_failed ?
 			       MHD_CONTENT_READER_END_OF_STREAM :
 			       MHD_CONTENT_READER_END_WITH_ERROR;
-	part = tgt_take(tgt, max);
+	part = tgt_read_body(tgt, max);
 	data = g_bytes_get_data(part, &size);
 	if (size) {
 		memcpy(buf, data, size);
@@ -161,7 +162,7 @@
 	return 0;
 }
 
-void gwy_answer_stream(struct gwy_try *t, int64_t now_us)
+void gwy_answer_stream(struct gwy_attempt *t, int64_t now_us)
 {
 	struct gwy_request *req = t->req;
 	int64_t length = tgt_length(t->tgt);
@@ -169,12 +170,12 @@
 		length < 0 ? MHD_SIZE_UNKNOWN : (uint64_t)length, BLOCK_SIZE,
 		read_body, req, NULL);
 
-	add_fields(req, response, t->tgt);
+	add_target_fields(req, response, t->tgt);
 	if (length > 0)
-		note_size(req, length);
+		update_mean_size(req, length);
 	req->state = GWY_STREAMING;
 	req->stream = t;
 	/* Other sends are ended by the timer, outside of this callback. */
 	gwy_request_timer(req, now_us, now_us);
-	answer_with(req, response, t->status);
+	queue_answer(req, response, t->status);
 }
--- a/src/gwy_http.c
+++ b/src/gwy_http.c
@@ -4,7 +4,8 @@
 #include "gwy_impl.h"
 #include "rte.h"
 
-#define ID_MAX 128 /* bytes of a caller's request id that are passed on */
+#define REQUEST_ID_MAX \
+	128 /* bytes of a caller's request id that are passed on */
 
 /* A connection is closed a little after the time that callers are told. */
 #define IDLE_MARGIN_S 1
@@ -16,7 +17,7 @@
 	return gwy_request_new(arg, target, connection);
 }
 
-static bool is_own_field(const struct gwy_fields *fields, const char *name)
+static bool is_fleet_field(const struct gwy_fields *fields, const char *name)
 {
 	return !g_ascii_strcasecmp(name, fields->target.request_id) ||
 	       !g_ascii_strcasecmp(name, fields->target.deadline_ms) ||
@@ -25,7 +26,7 @@
 
 /* Fields that the fleet sets itself do not go through as the caller sent
  * them. */
-static GArray *passed_on(const struct gwy *gwy, const GArray *headers)
+static GArray *forwarded_headers(const struct gwy *gwy, const GArray *headers)
 {
 	g_autoptr(GArray) kept = ent_end_to_end(headers);
 	GArray *out = msg_headers_new();
@@ -34,19 +35,19 @@
 		const struct msg_header *h =
 			&g_array_index(kept, struct msg_header, i);
 
-		if (!is_own_field(&gwy->fields, h->name))
+		if (!is_fleet_field(&gwy->fields, h->name))
 			msg_headers_add(out, h->name, h->value);
 	}
 	return out;
 }
 
-static void take_id(struct gwy_request *req, const GArray *headers)
+static void set_request_id(struct gwy_request *req, const GArray *headers)
 {
 	struct gwy *gwy = req->gwy;
 	const char *id =
 		msg_headers_get(headers, gwy->fields.target.request_id);
 
-	if (id && *id && strlen(id) <= ID_MAX)
+	if (id && *id && strlen(id) <= REQUEST_ID_MAX)
 		req->id = g_strdup(id);
 	else
 		req->id = g_strdup_printf(
@@ -56,7 +57,7 @@
 			++gwy->counter);
 }
 
-static void take_deadline(struct gwy_request *req, const GArray *headers)
+static void set_deadline(struct gwy_request *req, const GArray *headers)
 {
 	const char *text =
 		msg_headers_get(headers, req->gwy->fields.target.deadline_ms);
@@ -66,9 +67,9 @@
 
 	if (text &&
 	    g_ascii_string_to_unsigned(text, 10, 1, G_MAXINT32, &ms, NULL)) {
-		req->client_us = (int64_t)ms * FS_US_PER_MS;
-		given_us = MAX(req->client_us - GWY_DEADLINE_MARGIN_US,
-			       req->client_us / 2);
+		req->client_timeout_us = (int64_t)ms * FS_US_PER_MS;
+		given_us = MAX(req->client_timeout_us - GWY_DEADLINE_MARGIN_US,
+			       req->client_timeout_us / 2);
 	}
 	if (limit_us > 0)
 		given_us = MIN(given_us, limit_us);
@@ -85,9 +86,9 @@
 		total += route->shares[i].weight;
 	if (!total)
 		return route->service;
-	gwy->random =
-		gwy->random * 6364136223846793005ULL + 1442695040888963407ULL;
-	at = (gwy->random >> 33) % total;
+	gwy->random_state = gwy->random_state * 6364136223846793005ULL +
+			    1442695040888963407ULL;
+	at = (gwy->random_state >> 33) % total;
 	for (uint32_t i = 0; i < route->share_count; i++) {
 		if (at < route->shares[i].weight)
 			return route->shares[i].service;
@@ -112,7 +113,7 @@
 	return 0;
 }
 
-static void set_idle_time(struct gwy_request *req)
+static void set_idle_timeout(struct gwy_request *req)
 {
 	int64_t idle_us = req->cfg->limits.idle_us;
 
@@ -125,7 +126,7 @@
 }
 
 /* What can be told of a request without a configuration. */
-static int check(struct gwy_request *req, const char *version)
+static int validate(struct gwy_request *req, const char *version)
 {
 	struct msg_request *request = &req->m->request;
 	struct ent_head head;
@@ -143,19 +144,19 @@
 }
 
 /* Finds the route; the configuration of this moment holds to the end. */
-static int take_route(struct gwy_request *req)
+static int resolve_route(struct gwy_request *req)
 {
 	struct msg_request *request = &req->m->request;
 	GArray *headers;
 	int err;
 
 	req->cfg = cfg_ref(req->gwy->cfg);
-	set_idle_time(req);
+	set_idle_timeout(req);
 	err = find_route(req, request->host, req->path, req->body_length);
 	if (err)
 		return err;
-	take_deadline(req, request->headers);
-	headers = passed_on(req->gwy, request->headers);
+	set_deadline(req, request->headers);
+	headers = forwarded_headers(req->gwy, request->headers);
 	g_array_unref(request->headers);
 	request->headers = headers;
 	return 0;
@@ -181,15 +182,15 @@
 	request->headers = msg_headers_new();
 	if (!htd_read_headers(req->connection, request->headers))
 		req->err = FS_E_BAD_REQUEST;
-	take_id(req, request->headers);
-	err = check(req, version);
+	set_request_id(req, request->headers);
+	err = validate(req, version);
 	if (!err && is_ready(req->gwy))
-		err = take_route(req);
+		err = resolve_route(req);
 	if (err)
 		gwy_answer_refuse(req, err, 0, fs_now_us());
 }
 
-static void take_body(struct gwy_request *req, const char *data, size_t size)
+static void append_body(struct gwy_request *req, const char *data, size_t size)
 {
 	struct gwy *gwy = req->gwy;
 	uint64_t limit = req->cfg ? req->cfg->limits.body_bytes : 0;
@@ -204,28 +205,29 @@
 	g_byte_array_append(req->body, (const guint8 *)data, (guint)size);
 }
 
-static void hold_or_refuse(struct gwy_request *req, int64_t now_us)
+static void defer_or_refuse(struct gwy_request *req, int64_t now_us)
 {
-	int64_t until_us = req->gwy->started_us + GWY_HOLD_US;
+	int64_t until_us = req->gwy->started_us + GWY_DEFER_MAX_US;
 
 	if (now_us >= until_us) {
-		gwy_answer_refuse(req, FS_E_NOT_READY, GWY_HOLD_US, now_us);
+		gwy_answer_refuse(req, FS_E_NOT_READY, GWY_DEFER_MAX_US,
+				  now_us);
 		return;
 	}
-	req->state = GWY_HELD;
+	req->state = GWY_DEFERRED;
 	gwy_request_timer(req, MIN(now_us + NODE_TICK_US / 2, until_us),
 			  now_us);
 }
 
 /* The request is complete. */
-static void go_on(struct gwy_request *req, int64_t now_us)
+static void dispatch(struct gwy_request *req, int64_t now_us)
 {
 	if (!req->err && !req->cfg) {
 		if (!is_ready(req->gwy)) {
-			hold_or_refuse(req, now_us);
+			defer_or_refuse(req, now_us);
 			return;
 		}
-		req->err = take_route(req);
+		req->err = resolve_route(req);
 	}
 	if (req->err) {
 		gwy_answer_refuse(req, req->err,
@@ -237,9 +239,9 @@
 	gwy_send_first(req, now_us);
 }
 
-void gwy_http_release(struct gwy_request *req, int64_t now_us)
+void gwy_http_resume_deferred(struct gwy_request *req, int64_t now_us)
 {
-	go_on(req, now_us);
+	dispatch(req, now_us);
 }
 
 static enum MHD_Result queue(struct gwy_request *req)
@@ -264,12 +266,12 @@
 		return req->response ? queue(req) : MHD_YES;
 	}
 	if (*upload_size) {
-		take_body(req, upload_data, *upload_size);
+		append_body(req, upload_data, *upload_size);
 		*upload_size = 0;
 		return MHD_YES;
 	}
 	if (req->state == GWY_READING)
-		go_on(req, fs_now_us());
+		dispatch(req, fs_now_us());
 	if (req->response)
 		return queue(req);
 	gwy_request_suspend(req);
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -4,42 +4,43 @@
  * twenty of the deployments' work still runs, but not before half of the
  * route's objective. */
 #define OVERDUE_MEANS 2.5
-#define OVERDUE_SHARE 0.5
+#define OVERDUE_OBJECTIVE_SHARE 0.5
 /* The last moment at which a second send is likely answered in time, in mean
  * times before the deadline: nine of ten requests take no longer. */
-#define LAST_CHANCE_MEANS 2.0
+#define HEDGE_MARGIN_MEANS 2.0
 /* It is taken only while this share of the budget is left. */
-#define LAST_CHANCE_BUDGET 0.3
+#define HEDGE_BUDGET_SHARE 0.3
 
 /* The first target is as likely to fail as one with a first overdue answer: a
  * second send may answer sooner. */
-#define HEDGE_FAILURE 0.3
+#define HEDGE_FAILURE_PROBABILITY 0.3
 
 int64_t gwy_overdue_us(const struct gwy_request *req)
 {
 	int64_t mean_us = lod_mean(req->gwy->lod, gwy_service_name(req));
 
 	return (int64_t)MAX((double)mean_us * OVERDUE_MEANS,
-			    (double)gwy_choose_objective(req) * OVERDUE_SHARE);
+			    (double)gwy_choose_objective(req) *
+				    OVERDUE_OBJECTIVE_SHARE);
 }
 
-int64_t gwy_overdue_last_us(const struct gwy_request *req)
+int64_t gwy_overdue_hedge_latest_us(const struct gwy_request *req)
 {
 	int64_t mean_us = lod_mean(req->gwy->lod, gwy_service_name(req));
 
 	return MAX(req->deadline_us -
-			   (int64_t)(LAST_CHANCE_MEANS * (double)mean_us),
-		   req->tries[0].started_us + gwy_overdue_us(req));
+			   (int64_t)(HEDGE_MARGIN_MEANS * (double)mean_us),
+		   req->attempts[0].started_us + gwy_overdue_us(req));
 }
 
-void gwy_overdue_note(struct gwy_request *req, int64_t now_us)
+void gwy_overdue_report(struct gwy_request *req, int64_t now_us)
 {
 	int64_t late_us = gwy_overdue_us(req);
 
-	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_try *t = &req->tries[i];
+	for (uint32_t i = 0; i < req->attempt_count; i++) {
+		struct gwy_attempt *t = &req->attempts[i];
 
-		if (!t->held || t->overdue ||
+		if (!t->in_flight || t->overdue ||
 		    now_us - t->started_us < t->wait_us + late_us)
 			continue;
 		t->overdue = true;
@@ -48,28 +49,28 @@
 }
 
 /* Returns whether an answer that is overdue will likely not come in time. */
-static bool is_doubtful(struct gwy_request *req, const struct gwy_try *t,
-			int64_t now_us)
+static bool is_unlikely_in_time(struct gwy_request *req,
+				const struct gwy_attempt *t, int64_t now_us)
 {
 	const struct bud_rule *rule = &req->gwy->budget_rule;
 
 	if (t->target->gone || gry_failure(&bal_of(t->target, now_us)->gry,
-					   now_us) >= HEDGE_FAILURE)
+					   now_us) >= HEDGE_FAILURE_PROBABILITY)
 		return true;
-	return now_us >= gwy_overdue_last_us(req) &&
+	return now_us >= gwy_overdue_hedge_latest_us(req) &&
 	       lod_budget_left(req->gwy->lod, gwy_service_name(req), rule,
-			       now_us) > rule->slack * LAST_CHANCE_BUDGET;
+			       now_us) > rule->slack * HEDGE_BUDGET_SHARE;
 }
 
-bool gwy_overdue_doubtful(struct gwy_request *req, int64_t now_us)
+bool gwy_overdue_should_hedge(struct gwy_request *req, int64_t now_us)
 {
-	const struct gwy_try *t = &req->tries[req->try_count - 1];
+	const struct gwy_attempt *t = &req->attempts[req->attempt_count - 1];
 	struct bal_choice choice;
 
-	if (!gwy_route_of(req)->repeatable || req->running != 1 ||
-	    !t->overdue || !is_doubtful(req, t, now_us))
+	if (!gwy_route_of(req)->repeatable || req->attempts_in_flight != 1 ||
+	    !t->overdue || !is_unlikely_in_time(req, t, now_us))
 		return false;
 	choice = gwy_choose(req, now_us);
 	return choice.target && !choice.wait_us &&
-	       choice.failure < HEDGE_FAILURE;
+	       choice.failure < HEDGE_FAILURE_PROBABILITY;
 }
--- a/src/gwy_request.c
+++ b/src/gwy_request.c
@@ -11,21 +11,21 @@
 	struct gwy_request *req = timer->data;
 	int64_t now_us = fs_now_us();
 
-	if (req->state == GWY_HELD)
-		gwy_http_release(req, now_us);
+	if (req->state == GWY_DEFERRED)
+		gwy_http_resume_deferred(req, now_us);
 	else
 		gwy_send_timer(req, now_us);
 }
 
 /* The caller is gone: work for it ends, and nothing more is sent. */
-static void on_gone(void *arg)
+static void on_caller_disconnected(void *arg)
 {
 	struct gwy_request *req = arg;
 	int64_t now_us = fs_now_us();
 
 	if (req->state == GWY_ENDED)
 		return;
-	gwy_request_stop_tries(req);
+	gwy_request_cancel_attempts(req);
 	gwy_request_log(req, fs_err_name(FS_E_CALLER_GONE), now_us);
 	ctr_count(req->gwy->node->ctr, "gwy_callers_gone", 1);
 	req->state = GWY_ENDED;
@@ -48,7 +48,7 @@
 	req->route = req->service = FS_NONE;
 	ev_init(&req->timer, on_timer);
 	req->timer.data = req;
-	htd_gone_init(&req->gone, on_gone, req);
+	htd_gone_init(&req->disconnect_watch, on_caller_disconnected, req);
 	g_hash_table_add(gwy->requests, req);
 	return req;
 }
@@ -57,11 +57,11 @@
 {
 	struct gwy *gwy = req->gwy;
 
-	gwy_request_stop_tries(req);
-	for (uint32_t i = 0; i < req->try_count; i++)
-		dir_target_unref(req->tries[i].target);
+	gwy_request_cancel_attempts(req);
+	for (uint32_t i = 0; i < req->attempt_count; i++)
+		dir_target_unref(req->attempts[i].target);
 	ev_timer_stop(gwy->node->loop, &req->timer);
-	htd_gone_stop(&req->gone, gwy->node->loop);
+	htd_gone_stop(&req->disconnect_watch, gwy->node->loop);
 	g_hash_table_remove(gwy->requests, req);
 	gwy->body_bytes -= req->body->len;
 	g_byte_array_unref(req->body);
@@ -80,7 +80,8 @@
 		return;
 	req->suspended = true;
 	MHD_suspend_connection(req->connection);
-	htd_gone_start(&req->gone, req->gwy->node->loop, req->connection);
+	htd_gone_start(&req->disconnect_watch, req->gwy->node->loop,
+		       req->connection);
 }
 
 void gwy_request_resume(struct gwy_request *req)
@@ -88,7 +89,7 @@
 	if (!req->suspended)
 		return;
 	req->suspended = false;
-	htd_gone_stop(&req->gone, req->gwy->node->loop);
+	htd_gone_stop(&req->disconnect_watch, req->gwy->node->loop);
 	MHD_resume_connection(req->connection);
 	htd_kick(req->gwy->htd);
 }
@@ -102,29 +103,29 @@
 	ev_timer_start(loop, &req->timer);
 }
 
-void gwy_request_stop_tries(struct gwy_request *req)
+void gwy_request_cancel_attempts(struct gwy_request *req)
 {
-	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_try *t = &req->tries[i];
+	for (uint32_t i = 0; i < req->attempt_count; i++) {
+		struct gwy_attempt *t = &req->attempts[i];
 
 		if (!t->tgt)
 			continue;
 		/* Closing the connection ends the work at the target. */
-		if (tgt_free(t->tgt) && t->held)
+		if (tgt_free(t->tgt) && t->in_flight)
 			req->may_have_run = true;
 		t->tgt = NULL;
-		if (t->held)
+		if (t->in_flight)
 			t->err = FS_E_CANCELLED;
-		gwy_send_release(t);
+		gwy_send_release_slot(t);
 	}
 	req->stream = NULL;
 }
 
-static void add_tries(const struct gwy_request *req, GString *out)
+static void append_attempts(const struct gwy_request *req, GString *out)
 {
 	g_string_append(out, ",\"tries\":[");
-	for (uint32_t i = 0; i < req->try_count; i++) {
-		const struct gwy_try *t = &req->tries[i];
+	for (uint32_t i = 0; i < req->attempt_count; i++) {
+		const struct gwy_attempt *t = &req->attempts[i];
 
 		g_string_append_printf(
 			out,
@@ -163,9 +164,9 @@
 		(long long)((now_us - req->started_us) / FS_US_PER_MS),
 		(long long)((req->deadline_us - req->started_us) /
 			    FS_US_PER_MS));
-	if (req->no_retry)
+	if (req->no_retry_reason)
 		g_string_append_printf(out, ",\"no_retry\":\"%s\"",
-				       req->no_retry);
-	add_tries(req, out);
+				       req->no_retry_reason);
+	append_attempts(req, out);
 	fs_log_event("gwy", G_LOG_LEVEL_INFO, "request", out->str);
 }
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -3,33 +3,33 @@
 #include "rty.h"
 
 /* Requests that are parked until a target has room look for one so often. */
-#define PARK_US (50 * FS_US_PER_MS)
+#define PARK_POLL_US (50 * FS_US_PER_MS)
 
 /* Callers come back spread over this time, so that they do not meet again. */
-#define COME_BACK_SPREAD_US (400 * FS_US_PER_MS)
+#define RETRY_AFTER_JITTER_US (400 * FS_US_PER_MS)
 
-static struct adm_numbers admission(const struct gwy_request *req,
-				    const struct bal_choice *choice,
-				    int64_t now_us)
+static struct adm_input admission_input(const struct gwy_request *req,
+					const struct bal_choice *choice,
+					int64_t now_us)
 {
-	return (struct adm_numbers){
+	return (struct adm_input){
 		.age_us = now_us - req->started_us,
 		.left_us = req->deadline_us - now_us,
 		.objective_us = gwy_choose_objective(req),
 		.mean_us = lod_mean(req->gwy->lod, gwy_service_name(req)),
 		.wait_us = choice->wait_us,
-		.room = choice->target != NULL,
-		.offered = req->try_count > 0,
+		.has_capacity = choice->target != NULL,
+		.attempted = req->attempt_count > 0,
 	};
 }
 
-static int64_t come_back(struct gwy_request *req,
-			 const struct bal_choice *choice, int64_t now_us)
+static int64_t retry_after_us(struct gwy_request *req,
+			      const struct bal_choice *choice, int64_t now_us)
 {
-	struct adm_numbers n = admission(req, choice, now_us);
+	struct adm_input n = admission_input(req, choice, now_us);
 
 	return adm_retry_after(&n) +
-	       (int64_t)(gwy_random(req->gwy) % COME_BACK_SPREAD_US);
+	       (int64_t)(gwy_random(req->gwy) % RETRY_AFTER_JITTER_US);
 }
 
 static struct bud *budget_of(struct gwy_request *req)
@@ -45,12 +45,12 @@
 	return bud;
 }
 
-void gwy_send_release(struct gwy_try *t)
+void gwy_send_release_slot(struct gwy_attempt *t)
 {
-	if (!t->held)
+	if (!t->in_flight)
 		return;
-	t->held = false;
-	t->req->running--;
+	t->in_flight = false;
+	t->req->attempts_in_flight--;
 	if (t->target->gone)
 		return;
 	bal_of(t->target, t->started_us)->own--;
@@ -61,24 +61,24 @@
 {
 	int64_t at_us = req->deadline_us;
 	int64_t late_us = gwy_overdue_us(req);
-	int64_t last_us = gwy_overdue_last_us(req);
+	int64_t last_us = gwy_overdue_hedge_latest_us(req);
 
 	if (now_us < last_us)
 		at_us = MIN(at_us, last_us);
 
-	for (uint32_t i = 0; i < req->try_count; i++) {
-		const struct gwy_try *t = &req->tries[i];
+	for (uint32_t i = 0; i < req->attempt_count; i++) {
+		const struct gwy_attempt *t = &req->attempts[i];
 
-		if (t->held && !t->overdue)
+		if (t->in_flight && !t->overdue)
 			at_us = MIN(at_us,
 				    t->started_us + t->wait_us + late_us);
 	}
 	gwy_request_timer(req, at_us, now_us);
 }
 
-static const struct tgt_ops try_ops;
+static const struct tgt_ops attempt_ops;
 
-static bool start_tgt(struct gwy_try *t, int64_t now_us)
+static bool start_exchange(struct gwy_attempt *t, int64_t now_us)
 {
 	struct gwy_request *req = t->req;
 	struct gwy *gwy = req->gwy;
@@ -90,43 +90,43 @@
 		.m = m,
 		.id = req->id,
 		.repeatable = repeatable,
-		.fresh = req->try_count > 1,
+		.new_connection = req->attempt_count > 1,
 		.deadline_us = req->deadline_us,
-		.head_us = req->deadline_us,
+		.headers_deadline_us = req->deadline_us,
 		.dialect = &gwy->fields.target,
 	};
 
 	msg_headers_add(m->headers, gwy->fields.instance, entry->id);
-	t->tgt = tgt_start(gwy->pool, &request, &try_ops, t, now_us);
+	t->tgt = tgt_start(gwy->pool, &request, &attempt_ops, t, now_us);
 	g_array_remove_index(m->headers, m->headers->len - 1);
 	return t->tgt != NULL;
 }
 
 /* Starts a send to the target of a choice. */
-static void start_try(struct gwy_request *req, const struct bal_choice *choice,
-		      int64_t now_us)
+static void start_attempt(struct gwy_request *req,
+			  const struct bal_choice *choice, int64_t now_us)
 {
-	struct gwy_try *t = &req->tries[req->try_count++];
+	struct gwy_attempt *t = &req->attempts[req->attempt_count++];
 
 	t->req = req;
 	t->target = dir_target_ref(choice->target);
 	t->started_us = now_us;
 	t->wait_us = choice->wait_us;
-	t->held = true;
-	req->running++;
+	t->in_flight = true;
+	req->attempts_in_flight++;
 	bal_of(t->target, now_us)->own++;
 	bal_of(t->target, now_us)->sent_us = now_us;
 	lod_change(req->gwy->lod, t->target);
-	if (req->sent) {
-		bud_repeat(budget_of(req), &req->gwy->budget_rule, now_us);
+	if (req->attempts_sent) {
+		bud_count_retry(budget_of(req), &req->gwy->budget_rule, now_us);
 		lod_sent(req->gwy->lod, gwy_service_name(req), 0, 1, 0);
 	}
-	req->sent++;
+	req->attempts_sent++;
 	ctr_count(req->gwy->node->ctr, "gwy_sends", 1);
-	if (!start_tgt(t, now_us)) {
+	if (!start_exchange(t, now_us)) {
 		t->err = FS_E_NO_MEMORY;
 		t->not_run = true;
-		gwy_send_release(t);
+		gwy_send_release_slot(t);
 	}
 }
 
@@ -135,13 +135,13 @@
 		       const struct bal_choice *choice, int64_t now_us)
 {
 	int64_t left_us = req->deadline_us - now_us;
-	struct adm_numbers n;
+	struct adm_input n;
 
-	if (left_us < GWY_LEFT_MIN_US)
+	if (left_us < GWY_TIME_LEFT_MIN_US)
 		return req->may_have_run ? FS_E_DEADLINE : FS_E_DEADLINE_QUEUED;
 	if (!choice->target)
 		return choice->full ? FS_E_QUEUE_FULL : FS_E_NO_TARGET;
-	n = admission(req, choice, now_us);
+	n = admission_input(req, choice, now_us);
 	return adm_decide(&n) == ADM_SEND ? 0 : FS_E_WAIT_TOO_LONG;
 }
 
@@ -150,19 +150,19 @@
 static bool park(struct gwy_request *req, const struct bal_choice *choice,
 		 int err, int64_t now_us)
 {
-	struct adm_numbers n = admission(req, choice, now_us);
+	struct adm_input n = admission_input(req, choice, now_us);
 
-	req->parked = !req->running &&
+	req->parked = !req->attempts_in_flight &&
 		      (err == FS_E_QUEUE_FULL || err == FS_E_WAIT_TOO_LONG) &&
 		      adm_decide(&n) == ADM_PARK;
 	if (req->parked) {
 		ctr_count(req->gwy->node->ctr, "gwy_parked", 1);
-		gwy_request_timer(req, now_us + PARK_US, now_us);
+		gwy_request_timer(req, now_us + PARK_POLL_US, now_us);
 	}
 	return req->parked;
 }
 
-static const char *reason(const struct rty_numbers *n)
+static const char *no_retry_reason_of(const struct rty_input *n)
 {
 	if (!n->repeatable && n->written)
 		return "may_have_run";
@@ -182,49 +182,51 @@
 static double budget_left(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
-	double own =
-		bud_left(budget_of(req), &gwy->budget_rule, gwy->alive, now_us);
+	double own = bud_retries_left(budget_of(req), &gwy->budget_rule,
+				      gwy->members_alive, now_us);
 	double pool = lod_budget_left(gwy->lod, gwy_service_name(req),
 				      &gwy->budget_rule, now_us);
-	double recent = bud_recent(budget_of(req), &gwy->budget_rule, now_us);
+	double recent =
+		bud_recent_retries(budget_of(req), &gwy->budget_rule, now_us);
 
-	return MAX(own, pool / gwy->alive - recent);
+	return MAX(own, pool / gwy->members_alive - recent);
 }
 
 /* Sends a request once more, if the rule of retries allows it. */
-bool gwy_send_again(struct gwy_request *req, int64_t now_us)
+bool gwy_send_retry(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
 	const struct cfg_route *route = gwy_route_of(req);
 	struct bal_choice choice = gwy_choose(req, now_us);
-	struct rty_numbers n = {
+	struct rty_input n = {
 		.repeatable = route->repeatable,
 		.written = req->may_have_run,
 		.begun = req->state == GWY_STREAMING,
-		.tries = req->sent,
+		.tries = req->attempts_sent,
 		.tries_max = MAX(route->tries, 1),
 		.budget_milli =
 			(int64_t)(budget_left(req, now_us) * RTY_COST_MILLI),
-		.remaining_us = req->deadline_us - now_us - GWY_LEFT_MIN_US,
+		.remaining_us =
+			req->deadline_us - now_us - GWY_TIME_LEFT_MIN_US,
 		.usable = choice.target ? 1 : 0,
 	};
 	int err;
 
 	/* A send that reached nobody is not repeated by the next one. */
-	if (!req->sent)
+	if (!req->attempts_sent)
 		n.budget_milli = RTY_COST_MILLI;
 	err = cannot_send(req, &choice, now_us);
 	if (err == FS_E_QUEUE_FULL || err == FS_E_WAIT_TOO_LONG)
 		n.usable = 1;
-	if (req->try_count == GWY_TRIES_MAX || !rty_allowed(&n) ||
+	if (req->attempt_count == GWY_ATTEMPTS_MAX || !rty_allowed(&n) ||
 	    (err && !park(req, &choice, err, now_us))) {
-		req->no_retry = reason(&n);
+		req->no_retry_reason = no_retry_reason_of(&n);
 		return false;
 	}
 	if (err)
 		return true;
 	ctr_count(gwy->node->ctr, "gwy_sent_again", 1);
-	start_try(req, &choice, now_us);
+	start_attempt(req, &choice, now_us);
 	set_timer(req, now_us);
 	return true;
 }
@@ -237,28 +239,28 @@
 	if (err) {
 		if (!park(req, &choice, err, now_us))
 			gwy_answer_refuse(req, err,
-					  come_back(req, &choice, now_us),
+					  retry_after_us(req, &choice, now_us),
 					  now_us);
 		return;
 	}
-	start_try(req, &choice, now_us);
-	if (req->running)
+	start_attempt(req, &choice, now_us);
+	if (req->attempts_in_flight)
 		set_timer(req, now_us);
 	else
 		gwy_answer_refuse(req, FS_E_NO_TARGET,
-				  come_back(req, &choice, now_us), now_us);
+				  retry_after_us(req, &choice, now_us), now_us);
 }
 
 void gwy_send_first(struct gwy_request *req, int64_t now_us)
 {
 	req->state = GWY_WAITING;
-	bud_request(budget_of(req), &req->gwy->budget_rule, now_us);
+	bud_count_request(budget_of(req), &req->gwy->budget_rule, now_us);
 	lod_sent(req->gwy->lod, gwy_service_name(req), 1, 0, 0);
 	send_or_refuse(req, now_us);
 }
 
 /* What an ended send says of its target. */
-static enum gry_outcome outcome_of(const struct gwy_try *t)
+static enum gry_outcome outcome_of(const struct gwy_attempt *t)
 {
 	if (t->err == FS_E_CONNECT)
 		return GRY_UNREACHABLE;
@@ -271,7 +273,7 @@
 	return t->status >= 500 ? GRY_FAILED : GRY_GOOD;
 }
 
-static void tell_outcome(struct gwy_try *t)
+static void report_outcome(struct gwy_attempt *t)
 {
 	enum gry_outcome outcome = outcome_of(t);
 
@@ -283,8 +285,8 @@
 		    MAX(t->took_us - t->wait_us, t->took_us / 4));
 }
 
-static bool is_not_run(const struct gwy_try *t, const struct tgt_end *end,
-		       const GArray *headers)
+static bool is_not_run(const struct gwy_attempt *t,
+		       const struct tgt_result *end, const GArray *headers)
 {
 	if (end->err)
 		return !end->written;
@@ -293,7 +295,7 @@
 }
 
 /* The answer of the fleet when no send gave one that can be passed on. */
-static int final_err(const struct gwy_try *t)
+static int final_err(const struct gwy_attempt *t)
 {
 	if (!t->req->may_have_run)
 		return t->err && t->err != FS_E_CONNECT ? FS_E_DEADLINE_QUEUED :
@@ -304,13 +306,13 @@
 	return t->err;
 }
 
-static void finish(struct gwy_try *t, int64_t now_us)
+static void finish(struct gwy_attempt *t, int64_t now_us)
 {
 	struct gwy_request *req = t->req;
 	int err;
 
 	if (!t->err && !t->not_run) {
-		gwy_answer_whole(t, now_us);
+		gwy_answer_buffered(t, now_us);
 		return;
 	}
 	err = final_err(t);
@@ -318,17 +320,17 @@
 		req, err,
 		req->may_have_run ?
 			0 :
-			come_back(req, &(struct bal_choice){0}, now_us),
+			retry_after_us(req, &(struct bal_choice){0}, now_us),
 		now_us);
 }
 
 /* A failure answer is passed on only if no better one can be had. */
-static bool is_good(const struct gwy_try *t)
+static bool is_success(const struct gwy_attempt *t)
 {
 	return !t->err && !t->not_run && t->status < 500;
 }
 
-static void on_stream_end(struct gwy_try *t)
+static void on_stream_end(struct gwy_attempt *t)
 {
 	struct gwy_request *req = t->req;
 
@@ -341,9 +343,9 @@
 	gwy_request_resume(req);
 }
 
-static void on_done(void *arg, struct tgt *tgt, const struct tgt_end *end)
+static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *end)
 {
-	struct gwy_try *t = arg;
+	struct gwy_attempt *t = arg;
 	struct gwy_request *req = t->req;
 	int64_t now_us = fs_now_us();
 	bool streaming = req->stream == t;
@@ -357,24 +359,24 @@
 	t->not_run = !streaming && is_not_run(t, end, headers);
 	/* Nothing was written: the server never saw this send. */
 	if (end->err && !end->written)
-		req->sent--;
+		req->attempts_sent--;
 	else if (!t->not_run)
 		req->may_have_run = true;
-	tell_outcome(t);
-	gwy_send_release(t);
+	report_outcome(t);
+	gwy_send_release_slot(t);
 	if (streaming) {
 		on_stream_end(t);
 		return;
 	}
 	if (req->state != GWY_WAITING)
 		return;
-	if (is_good(t)) {
-		gwy_answer_whole(t, now_us);
-		gwy_request_stop_tries(req);
+	if (is_success(t)) {
+		gwy_answer_buffered(t, now_us);
+		gwy_request_cancel_attempts(req);
 		return;
 	}
 	/* Another send is still under way, or follows now. */
-	if (req->running || gwy_send_again(req, now_us))
+	if (req->attempts_in_flight || gwy_send_retry(req, now_us))
 		return;
 	finish(t, now_us);
 }
@@ -382,7 +384,7 @@
 /* The body is long: pass it on while it comes in. */
 static void on_begun(void *arg, struct tgt *tgt)
 {
-	struct gwy_try *t = arg;
+	struct gwy_attempt *t = arg;
 	struct gwy_request *req = t->req;
 
 	if (req->state != GWY_WAITING)
@@ -393,75 +395,75 @@
 
 /* Ends the sends whose answer is not the one that is passed on. libcurl does
  * not let go of a transfer inside a callback, where streams begin. */
-static void stop_others(struct gwy_request *req)
+static void cancel_other_attempts(struct gwy_request *req)
 {
-	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_try *t = &req->tries[i];
+	for (uint32_t i = 0; i < req->attempt_count; i++) {
+		struct gwy_attempt *t = &req->attempts[i];
 
-		if (t == req->stream || !t->held)
+		if (t == req->stream || !t->in_flight)
 			continue;
 		tgt_free(t->tgt);
 		t->tgt = NULL;
 		t->err = FS_E_CANCELLED;
-		gwy_send_release(t);
+		gwy_send_release_slot(t);
 	}
 }
 
 static void on_more(void *arg, struct tgt *tgt)
 {
-	const struct gwy_try *t = arg;
+	const struct gwy_attempt *t = arg;
 
 	(void)tgt;
 	if (t->req->stream == t)
 		gwy_request_resume(t->req);
 }
 
-static bool on_silent(void *arg, struct tgt *tgt)
+static bool on_headers_overdue(void *arg, struct tgt *tgt)
 {
 	(void)arg;
 	(void)tgt;
 	return false;
 }
 
-static const struct tgt_ops try_ops = {
+static const struct tgt_ops attempt_ops = {
 	.begun = on_begun,
 	.more = on_more,
-	.silent = on_silent,
+	.headers_overdue = on_headers_overdue,
 	.done = on_done,
 };
 
-static void give_up(struct gwy_request *req, int64_t now_us)
+static void on_deadline(struct gwy_request *req, int64_t now_us)
 {
 	if (req->state == GWY_STREAMING) {
-		gwy_request_stop_tries(req);
+		gwy_request_cancel_attempts(req);
 		req->stream_failed = true;
 		gwy_request_log(req, fs_err_name(FS_E_DEADLINE), now_us);
 		req->state = GWY_ENDED;
 		gwy_request_resume(req);
 		return;
 	}
-	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_try *t = &req->tries[i];
+	for (uint32_t i = 0; i < req->attempt_count; i++) {
+		struct gwy_attempt *t = &req->attempts[i];
 
-		if (t->held && !t->overdue)
+		if (t->in_flight && !t->overdue)
 			lod_outcome(req->gwy->lod, t->target, GRY_OVERDUE, 0);
 	}
-	gwy_request_stop_tries(req);
+	gwy_request_cancel_attempts(req);
 	gwy_answer_refuse(
 		req, req->may_have_run ? FS_E_DEADLINE : FS_E_DEADLINE_QUEUED,
 		0, now_us);
 }
 
 /* Room may have come free for a request that waits here. */
-static void resend(struct gwy_request *req, int64_t now_us)
+static void retry_parked(struct gwy_request *req, int64_t now_us)
 {
-	if (!req->try_count) {
+	if (!req->attempt_count) {
 		send_or_refuse(req, now_us);
 		return;
 	}
-	if (gwy_send_again(req, now_us))
+	if (gwy_send_retry(req, now_us))
 		return;
-	finish(&req->tries[req->try_count - 1], now_us);
+	finish(&req->attempts[req->attempt_count - 1], now_us);
 }
 
 void gwy_send_timer(struct gwy_request *req, int64_t now_us)
@@ -469,20 +471,20 @@
 	if (req->state == GWY_ENDED)
 		return;
 	if (now_us >= req->deadline_us) {
-		give_up(req, now_us);
+		on_deadline(req, now_us);
 		return;
 	}
 	if (req->parked) {
 		req->parked = false;
-		resend(req, now_us);
+		retry_parked(req, now_us);
 		return;
 	}
 	if (req->state == GWY_STREAMING)
-		stop_others(req);
+		cancel_other_attempts(req);
 	if (req->state == GWY_WAITING) {
-		gwy_overdue_note(req, now_us);
-		if (gwy_overdue_doubtful(req, now_us))
-			gwy_send_again(req, now_us);
+		gwy_overdue_report(req, now_us);
+		if (gwy_overdue_should_hedge(req, now_us))
+			gwy_send_retry(req, now_us);
 	}
 	set_timer(req, now_us);
 }
--- a/src/gwy_stop.c
+++ b/src/gwy_stop.c
@@ -5,27 +5,27 @@
 #define TICK_US (50 * FS_US_PER_MS)
 /* Callers keep an answer with this node's address for two seconds; until then
  * new connections are still taken. */
-#define LISTEN_US (2200 * FS_US_PER_MS)
+#define ACCEPT_US (2200 * FS_US_PER_MS)
 /* Connections without a request are then closed by the end of the process;
  * a request that crosses the close has not been read. */
-#define QUIET_US (300 * FS_US_PER_MS)
+#define CLOSE_GRACE_US (300 * FS_US_PER_MS)
 /* Work still under way is cut only shortly before the process is killed. */
-#define MARGIN_US (350 * FS_US_PER_MS)
+#define KILL_MARGIN_US (350 * FS_US_PER_MS)
 
-static bool may_end(struct gwy *gwy, int64_t now_us)
+static bool is_drained(struct gwy *gwy, int64_t now_us)
 {
 	int64_t since_us = now_us - gwy->stop_us;
 
-	if (since_us >= gwy->node->set.stop_grace_us - MARGIN_US)
+	if (since_us >= gwy->node->set.stop_grace_us - KILL_MARGIN_US)
 		return true;
-	if (since_us < LISTEN_US)
+	if (since_us < ACCEPT_US)
 		return false;
 	if (!gwy->quiesced) {
 		htd_quiesce(gwy->htd);
 		gwy->quiesced = true;
 	}
 	return !g_hash_table_size(gwy->requests) &&
-	       since_us >= LISTEN_US + QUIET_US;
+	       since_us >= ACCEPT_US + CLOSE_GRACE_US;
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *timer, int events)
@@ -34,7 +34,7 @@
 	struct msg *m;
 
 	(void)events;
-	if (!may_end(gwy, fs_now_us()))
+	if (!is_drained(gwy, fs_now_us()))
 		return;
 	ev_timer_stop(loop, timer);
 	fs_log_eventf("gwy", G_LOG_LEVEL_MESSAGE, "gateway_stopped",
--- a/src/key.c
+++ b/src/key.c
@@ -73,13 +73,13 @@
 	return g_hash_table_lookup(table->items, &probe);
 }
 
-static void drop(struct key_table *table, struct key_item *item)
+static void remove_item(struct key_table *table, struct key_item *item)
 {
 	g_queue_unlink(&table->order, &item->link);
 	g_hash_table_remove(table->items, item);
 }
 
-static bool is_past(const struct key_item *item, int64_t now_us)
+static bool is_expired(const struct key_item *item, int64_t now_us)
 {
 	return now_us - item->taken_us >= FS_KEY_WINDOW_US &&
 	       !(item->local && item->in_flight);
@@ -107,8 +107,8 @@
 {
 	struct key_item *item = find(table, service, key);
 
-	if (item && is_past(item, now_us)) {
-		drop(table, item);
+	if (item && is_expired(item, now_us)) {
+		remove_item(table, item);
 		item = NULL;
 	}
 	if (item)
@@ -145,7 +145,7 @@
 	if (!item || !item->local || !item->in_flight)
 		return;
 	if (not_run)
-		drop(table, item);
+		remove_item(table, item);
 	else
 		item->in_flight = false;
 }
@@ -155,8 +155,8 @@
 {
 	struct key_item *item = find(table, entry->service, entry->key);
 
-	if (item && is_past(item, now_us)) {
-		drop(table, item);
+	if (item && is_expired(item, now_us)) {
+		remove_item(table, item);
 		item = NULL;
 	}
 	if (item) {
@@ -199,8 +199,8 @@
 		struct key_item *item = l->data;
 
 		next = l->next;
-		if (is_past(item, now_us))
-			drop(table, item);
+		if (is_expired(item, now_us))
+			remove_item(table, item);
 		else if (!item->in_flight)
 			break;
 	}
--- a/src/lod.c
+++ b/src/lod.c
@@ -91,14 +91,14 @@
 
 	part.ratio *= POOL_SHARE;
 	part.slack *= POOL_SHARE;
-	return bud_left(&pool_of(lod, lod_name_hash(service))->budget, &part, 1,
-			now_us);
+	return bud_retries_left(&pool_of(lod, lod_name_hash(service))->budget,
+				&part, 1, now_us);
 }
 
 double lod_rate(struct lod *lod, const char *service, int64_t now_us)
 {
-	return bud_rate(&pool_of(lod, lod_name_hash(service))->budget,
-			&lod->rule, now_us);
+	return bud_request_rate(&pool_of(lod, lod_name_hash(service))->budget,
+				&lod->rule, now_us);
 }
 
 double lod_unserved(const struct lod *lod, const char *service)
@@ -114,17 +114,17 @@
 {
 	struct lod_pool *pool = pool_of(lod, sends->service);
 
-	double weight = 1.0 / CLAMP(bud_rate(&pool->budget, &lod->rule, now_us),
-				    UNSERVED_REQUESTS_MIN,
-				    UNSERVED_REQUESTS_MAX);
+	double weight =
+		1.0 / CLAMP(bud_request_rate(&pool->budget, &lod->rule, now_us),
+			    UNSERVED_REQUESTS_MIN, UNSERVED_REQUESTS_MAX);
 
 	for (uint32_t i = 0; i < sends->requests; i++)
 		pool->unserved -= weight * pool->unserved;
 	pool->unserved += weight * sends->unserved;
 	for (uint32_t i = 0; i < sends->requests; i++)
-		bud_request(&pool->budget, &lod->rule, now_us);
+		bud_count_request(&pool->budget, &lod->rule, now_us);
 	for (uint32_t i = 0; i < sends->repeats; i++)
-		bud_repeat(&pool->budget, &lod->rule, now_us);
+		bud_count_retry(&pool->budget, &lod->rule, now_us);
 }
 
 /* Sets what others have at a target: all domains' counts but this node's. */
--- a/src/rte.c
+++ b/src/rte.c
@@ -51,8 +51,8 @@
 	size_t path;
 };
 
-static void consider(const struct cfg *cfg, handle i, const char *host,
-		     const char *path, struct best *best)
+static void update_best(const struct cfg *cfg, handle i, const char *host,
+			const char *path, struct best *best)
 {
 	const struct cfg_route *route = &cfg->routes[i];
 	int rank = host_rank(route->host, host);
@@ -69,20 +69,20 @@
 	     uint32_t method, handle *route)
 {
 	struct best any = {.route = FS_NONE};
-	struct best fit = {.route = FS_NONE};
+	struct best allowed = {.route = FS_NONE};
 
 	for (handle i = 0; i < cfg->route_count; i++) {
-		consider(cfg, i, host, path, &any);
+		update_best(cfg, i, host, path, &any);
 		if (cfg->routes[i].methods & method)
-			consider(cfg, i, host, path, &fit);
+			update_best(cfg, i, host, path, &allowed);
 	}
-	*route = fit.route;
+	*route = allowed.route;
 	if (any.route == FS_NONE)
 		return FS_E_NO_ROUTE;
 	/* A longer prefix or an exact host takes the request also when it
 	 * refuses its method: the shorter one has other rules. */
-	if (fit.route == FS_NONE || fit.host != any.host ||
-	    fit.path != any.path) {
+	if (allowed.route == FS_NONE || allowed.host != any.host ||
+	    allowed.path != any.path) {
 		*route = FS_NONE;
 		return FS_E_METHOD;
 	}
--- a/src/tgt.c
+++ b/src/tgt.c
@@ -13,14 +13,15 @@
 }
 
 /* Tells the owner, once; the exchange may be freed by it. */
-static void end(struct tgt *tgt, int err)
+static void finish(struct tgt *tgt, int err)
 {
-	struct tgt_end e = {
+	struct tgt_result e = {
 		.err = err,
 		.written = tgt->written,
-		.headed = tgt->headed,
+		.headers_complete = tgt->headers_complete,
 	};
-	int64_t until = tgt->headed ? tgt->headed_us : fs_now_us();
+	int64_t until = tgt->headers_complete ? tgt->headers_at_us :
+						fs_now_us();
 
 	e.reused = tgt_reused(tgt);
 	e.took_us = until - tgt->started_us;
@@ -30,33 +31,33 @@
 }
 
 /* Bytes behind the end of an answer show that it was longer than it said. */
-static bool has_surplus(struct tgt *tgt)
+static bool has_trailing_bytes(struct tgt *tgt)
 {
 	curl_socket_t fd = CURL_SOCKET_BAD;
 	char byte;
 
-	if (!tgt->chunked && tgt->raw > tgt->received)
+	if (!tgt->chunked && tgt->raw_received > tgt->received)
 		return true;
 	curl_easy_getinfo(tgt->easy, CURLINFO_ACTIVESOCKET, &fd);
 	return fd != CURL_SOCKET_BAD &&
 	       recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-static int check_whole(struct tgt *tgt)
+static int check_complete(struct tgt *tgt)
 {
-	if (tgt->invalid || !tgt->headed)
+	if (tgt->invalid || !tgt->headers_complete)
 		return FS_E_ANSWER_INVALID;
 	if (tgt_has_body(tgt) && !tgt->chunked && tgt->received < tgt->length)
 		return FS_E_TRUNCATED;
 	if (tgt->dialect)
 		return 0;
-	return has_surplus(tgt) ? FS_E_ANSWER_INVALID : 0;
+	return has_trailing_bytes(tgt) ? FS_E_ANSWER_INVALID : 0;
 }
 
 static int error_of(const struct tgt *tgt, CURLcode code)
 {
 	if (!tgt->written)
-		return tgt->late ? FS_E_DEADLINE : FS_E_CONNECT;
+		return tgt->past_deadline ? FS_E_DEADLINE : FS_E_CONNECT;
 	if (tgt->invalid)
 		return FS_E_ANSWER_INVALID;
 	switch (code) {
@@ -69,7 +70,8 @@
 	case CURLE_OPERATION_TIMEDOUT:
 		return FS_E_DEADLINE;
 	default:
-		return tgt->headed ? FS_E_TRUNCATED : FS_E_TARGET_RESET;
+		return tgt->headers_complete ? FS_E_TRUNCATED :
+					       FS_E_TARGET_RESET;
 	}
 }
 
@@ -77,35 +79,36 @@
 {
 	struct tgt *tgt = arg;
 
-	if (tgt->stale && !tgt->written) {
-		tgt->stale = false;
+	if (tgt->connection_stale && !tgt->written) {
+		tgt->connection_stale = false;
 		curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
 		if (!crl_start(tgt->crl, easy, on_done, tgt))
 			return;
 	}
-	end(tgt, code == CURLE_OK ? check_whole(tgt) : error_of(tgt, code));
+	finish(tgt,
+	       code == CURLE_OK ? check_complete(tgt) : error_of(tgt, code));
 }
 
 /* Returns whether the connection may be written to. */
-static bool is_usable(struct tgt *tgt, const struct tgt_ends *ends)
+static bool is_usable(struct tgt *tgt, const struct tgt_endpoints *ends)
 {
 	long connects = 0;
 
 	curl_easy_getinfo(tgt->easy, CURLINFO_NUM_CONNECTS, &connects);
 	tgt->reused = connects == 0;
 	if (!tgt->reused)
-		tgt_pool_note(tgt->pool, ends, tgt->fd);
+		tgt_pool_register(tgt->pool, ends, tgt->fd);
 	else
-		tgt->stale = !tgt_pool_quiet(tgt->pool, ends);
-	return !tgt->stale;
+		tgt->connection_stale = !tgt_pool_is_idle(tgt->pool, ends);
+	return !tgt->connection_stale;
 }
 
 /* The last moment before the request is written. */
-static int on_write(void *arg, char *ip, char *local_ip, int port,
-		    int local_port)
+static int on_before_write(void *arg, char *ip, char *local_ip, int port,
+			   int local_port)
 {
 	struct tgt *tgt = arg;
-	struct tgt_ends ends = {
+	struct tgt_endpoints ends = {
 		.ip = ip,
 		.local_ip = local_ip,
 		.port = port,
@@ -114,8 +117,8 @@
 
 	if (tgt->written)
 		return CURL_PREREQFUNC_ABORT;
-	tgt->late = fs_now_us() >= tgt->deadline_us;
-	if (tgt->late || !is_usable(tgt, &ends))
+	tgt->past_deadline = fs_now_us() >= tgt->deadline_us;
+	if (tgt->past_deadline || !is_usable(tgt, &ends))
 		return CURL_PREREQFUNC_ABORT;
 	tgt->written = true;
 	return CURL_PREREQFUNC_OK;
@@ -150,7 +153,7 @@
 	(void)easy;
 	(void)data;
 	if (type == CURLINFO_DATA_IN)
-		tgt->raw += (int64_t)size;
+		tgt->raw_received += (int64_t)size;
 	return 0;
 }
 
@@ -158,8 +161,9 @@
 static void set_timer(struct tgt *tgt, int64_t now_us)
 {
 	struct ev_loop *loop = crl_loop(tgt->crl);
-	int64_t until = tgt->headed ? tgt->deadline_us :
-				      MIN(tgt->head_us, tgt->deadline_us);
+	int64_t until = tgt->headers_complete ?
+				tgt->deadline_us :
+				MIN(tgt->headers_deadline_us, tgt->deadline_us);
 
 	ev_timer_stop(loop, &tgt->timer);
 	ev_timer_set(&tgt->timer, (double)MAX(until - now_us, 0) / 1e6, 0.0);
@@ -173,17 +177,18 @@
 
 	(void)loop;
 	(void)events;
-	if (now_us < tgt->deadline_us && !tgt->headed &&
-	    now_us >= tgt->head_us && !tgt->ops->silent(tgt->arg, tgt))
-		tgt->head_us = tgt->deadline_us;
+	if (now_us < tgt->deadline_us && !tgt->headers_complete &&
+	    now_us >= tgt->headers_deadline_us &&
+	    !tgt->ops->headers_overdue(tgt->arg, tgt))
+		tgt->headers_deadline_us = tgt->deadline_us;
 	if (now_us < tgt->deadline_us &&
-	    (tgt->headed || now_us < tgt->head_us)) {
+	    (tgt->headers_complete || now_us < tgt->headers_deadline_us)) {
 		set_timer(tgt, now_us);
 		return;
 	}
 	crl_stop(tgt->crl, tgt->easy);
-	end(tgt, tgt->written || now_us >= tgt->deadline_us ? FS_E_DEADLINE :
-							      FS_E_CONNECT);
+	finish(tgt, tgt->written || now_us >= tgt->deadline_us ? FS_E_DEADLINE :
+								 FS_E_CONNECT);
 }
 
 static void set_options(struct tgt *tgt, const struct tgt_request *request,
@@ -195,7 +200,7 @@
 					 request->dialect->connect_us :
 					 TGT_CONNECT_MAX_US;
 	int64_t connect_us = MIN(connect_max_us, left_us / 2);
-	bool fresh = !request->repeatable || request->fresh;
+	bool fresh = !request->repeatable || request->new_connection;
 
 	curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(easy, CURLOPT_HTTP_VERSION,
@@ -211,7 +216,7 @@
 					    (long)FS_POOL_IDLE_AGE_S);
 	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
 			 (long)MAX(connect_us / FS_US_PER_MS, 1));
-	curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, on_write);
+	curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, on_before_write);
 	curl_easy_setopt(easy, CURLOPT_PREREQDATA, tgt);
 	curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, tgt_read_header);
 	curl_easy_setopt(easy, CURLOPT_HEADERDATA, tgt);
@@ -237,7 +242,7 @@
 	tgt->arg = arg;
 	tgt->started_us = now_us;
 	tgt->deadline_us = request->deadline_us;
-	tgt->head_us = request->head_us;
+	tgt->headers_deadline_us = request->headers_deadline_us;
 	tgt->length = -1;
 	tgt->headers = msg_headers_new();
 	tgt->buffer = g_byte_array_new();
@@ -281,7 +286,7 @@
 	return g_array_ref(tgt->headers);
 }
 
-GArray *tgt_take_headers(struct tgt *tgt)
+GArray *tgt_steal_headers(struct tgt *tgt)
 {
 	GArray *headers = tgt->headers;
 
@@ -301,7 +306,7 @@
 	return tgt->length;
 }
 
-GBytes *tgt_take(struct tgt *tgt, size_t max)
+GBytes *tgt_read_body(struct tgt *tgt, size_t max)
 {
 	guint n = (guint)MIN(max, tgt->buffer->len);
 	GBytes *bytes = g_bytes_new(tgt->buffer->data, n);
@@ -311,7 +316,7 @@
 	return bytes;
 }
 
-size_t tgt_waiting(const struct tgt *tgt)
+size_t tgt_buffered_bytes(const struct tgt *tgt)
 {
 	return tgt->buffer->len;
 }
--- a/src/tgt.h
+++ b/src/tgt.h
@@ -38,14 +38,14 @@
 struct tgt;
 
 /** How an exchange ended. */
-struct tgt_end {
-	int err;	 /* 0: a whole answer; FS_E_CONNECT, FS_E_DEADLINE,
+struct tgt_result {
+	int err;      /* 0: a whole answer; FS_E_CONNECT, FS_E_DEADLINE,
 			  * FS_E_TARGET_RESET, FS_E_TRUNCATED or
 			  * FS_E_ANSWER_INVALID */
-	bool written;	 /* a byte of the request may have reached the target */
-	bool reused;	 /* the connection came from the pool */
-	bool headed;	 /* the header fields of an answer were read */
-	int64_t took_us; /* until the header fields, or until the end */
+	bool written; /* a byte of the request may have reached the target */
+	bool reused;  /* the connection came from the pool */
+	bool headers_complete; /* the header fields of an answer were read */
+	int64_t took_us;       /* until the header fields, or until the end */
 };
 
 /** What the owner of an exchange is told; never from inside tgt_start(). */
@@ -56,9 +56,9 @@
 	void (*more)(void *arg, struct tgt *tgt);
 	/** The header fields did not come in time. @return whether to give
 	 *  the exchange up; else it goes on until its deadline */
-	bool (*silent)(void *arg, struct tgt *tgt);
+	bool (*headers_overdue)(void *arg, struct tgt *tgt);
 	/** The end, told once; not after tgt_free(). */
-	void (*done)(void *arg, struct tgt *tgt, const struct tgt_end *end);
+	void (*done)(void *arg, struct tgt *tgt, const struct tgt_result *end);
 };
 
 /**
@@ -82,9 +82,9 @@
 	const struct msg_request *m; /* method, header fields, body */
 	const char *id;		     /* the request id as text */
 	bool repeatable;	     /* pooled connections may be used */
-	bool fresh;		     /* use no pooled connection all the same */
+	bool new_connection;	     /* use no pooled connection all the same */
 	int64_t deadline_us;	     /* when the whole answer must be here */
-	int64_t head_us;	     /* when its header fields must be here */
+	int64_t headers_deadline_us; /* when its header fields must be here */
 	const struct tgt_dialect *dialect; /* NULL: the fleet's own fields */
 };
 
@@ -118,7 +118,7 @@
 GArray *tgt_peek_headers(struct tgt *tgt);
 
 /** Takes the header fields, hop-by-hop ones removed. */
-GArray *tgt_take_headers(struct tgt *tgt);
+GArray *tgt_steal_headers(struct tgt *tgt);
 
 /** Returns whether the answer says that the target is leaving. */
 bool tgt_draining(const struct tgt *tgt);
@@ -128,10 +128,10 @@
 int64_t tgt_length(const struct tgt *tgt);
 
 /** Takes up to @p max bytes of the body. */
-GBytes *tgt_take(struct tgt *tgt, size_t max);
+GBytes *tgt_read_body(struct tgt *tgt, size_t max);
 
 /** Returns how many bytes can be taken. */
-size_t tgt_waiting(const struct tgt *tgt);
+size_t tgt_buffered_bytes(const struct tgt *tgt);
 
 /** Reads on after bytes were taken; not from inside the functions of ops. */
 void tgt_resume(struct tgt *tgt);
--- a/src/tgt_answer.c
+++ b/src/tgt_answer.c
@@ -24,14 +24,14 @@
 }
 
 /* An answer to another request may arrive where this one's is expected. */
-static void read_name(struct tgt *tgt, const char *value)
+static void read_request_id(struct tgt *tgt, const char *value)
 {
-	tgt->named = !strcmp(value, tgt->id);
-	if (!tgt->named)
+	tgt->request_id_matched = !strcmp(value, tgt->id);
+	if (!tgt->request_id_matched)
 		tgt->invalid = true;
 }
 
-static const char *name_field(const struct tgt *tgt)
+static const char *request_id_field(const struct tgt *tgt)
 {
 	return tgt->dialect ? tgt->dialect->request_id : "Fescuesaddle-Request";
 }
@@ -44,9 +44,9 @@
 		tgt->chunked = true;
 	else if (!g_ascii_strcasecmp(name, "Draining"))
 		tgt->draining = !strcmp(value, "1");
-	else if (!g_ascii_strcasecmp(name, name_field(tgt)))
-		read_name(tgt, value);
-	if (tgt_hop_by_hop(name))
+	else if (!g_ascii_strcasecmp(name, request_id_field(tgt)))
+		read_request_id(tgt, value);
+	if (tgt_is_hop_by_hop(name))
 		return;
 	if (tgt->headers->len >= TGT_HEADERS_MAX)
 		tgt->invalid = true;
@@ -62,7 +62,7 @@
 	tgt->status = space ? (uint32_t)strtoul(space + 1, NULL, 10) : 0;
 	tgt->length = -1;
 	tgt->chunked = false;
-	tgt->named = false;
+	tgt->request_id_matched = false;
 	g_array_set_size(tgt->headers, 0);
 }
 
@@ -70,8 +70,8 @@
 {
 	if (tgt->status >= 100 && tgt->status < 200)
 		return;
-	tgt->headed = true;
-	tgt->headed_us = fs_now_us();
+	tgt->headers_complete = true;
+	tgt->headers_at_us = fs_now_us();
 	if (tgt->chunked && tgt->length >= 0)
 		tgt->invalid = true;
 	if (tgt_has_body(tgt) && !tgt->chunked && tgt->length < 0 &&
@@ -80,7 +80,7 @@
 	/* A success that does not name its request, or bears no proof, may be
 	 * anybody's. */
 	if (tgt->dialect && tgt->status < 300 &&
-	    (!tgt->named ||
+	    (!tgt->request_id_matched ||
 	     !msg_headers_get(tgt->headers, tgt->dialect->proof)))
 		tgt->invalid = true;
 }
@@ -96,7 +96,7 @@
 	if (tgt->header_bytes > TGT_HEADER_BYTES_MAX || strlen(line) != bytes)
 		tgt->invalid = true;
 	g_strchomp(line);
-	if (tgt->headed) /* trailer fields are dropped */
+	if (tgt->headers_complete) /* trailer fields are dropped */
 		return tgt->invalid ? 0 : bytes;
 	colon = strchr(line, ':');
 	if (!strncmp(line, "HTTP/", 5)) {
--- a/src/tgt_impl.h
+++ b/src/tgt_impl.h
@@ -16,36 +16,36 @@
 	GBytes *body;
 	char *id;
 	const struct tgt_dialect *dialect; /* or NULL */
-	bool named;			   /* the answer names the request */
+	bool request_id_matched;	   /* the answer names the request */
 	const struct tgt_ops *ops;
 	void *arg;
 	int64_t started_us;
 	int64_t deadline_us;
-	int64_t head_us;
+	int64_t headers_deadline_us;
 	ev_timer timer;
 	bool no_body; /* the method was HEAD */
 
 	bool written; /* a byte of the request may have reached the target */
 	bool reused;  /* by a connection that was kept */
-	bool late;    /* not written, since the deadline had passed */
-	bool stale;   /* not written, since a kept connection was not quiet */
+	bool past_deadline; /* not written, since the deadline had passed */
+	bool connection_stale; /* not written, since a kept connection was not quiet */
 	bool ended;
 	bool begun;
 	bool paused;
 
 	/* The answer */
-	bool headed;
+	bool headers_complete;
 	bool invalid;
 	bool chunked;
 	bool draining;
 	uint32_t status;
 	int64_t length; /* -1: not told */
-	int64_t headed_us;
+	int64_t headers_at_us;
 	size_t header_bytes;
 	GArray *headers;
-	GByteArray *buffer; /* body not taken yet */
-	int64_t received;   /* bytes of the body */
-	int64_t raw;	    /* bytes read after the header fields */
+	GByteArray *buffer;   /* body not taken yet */
+	int64_t received;     /* bytes of the body */
+	int64_t raw_received; /* bytes read after the header fields */
 };
 
 /** Sets up method, header fields and body of the request. */
@@ -59,6 +59,6 @@
 bool tgt_has_body(const struct tgt *tgt);
 
 /** Returns whether a header field is for one connection only. */
-bool tgt_hop_by_hop(const char *name);
+bool tgt_is_hop_by_hop(const char *name);
 
 #endif
--- a/src/tgt_request.c
+++ b/src/tgt_request.c
@@ -4,7 +4,7 @@
 #include "tgt_impl.h"
 
 /* Fields that belong to one connection, or that only the fleet may set. */
-static const char *const own_fields[] = {
+static const char *const reserved_fields[] = {
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Connection",
@@ -18,10 +18,10 @@
 	"Host",
 };
 
-bool tgt_hop_by_hop(const char *name)
+bool tgt_is_hop_by_hop(const char *name)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(own_fields); i++) {
-		if (!g_ascii_strcasecmp(name, own_fields[i]))
+	for (size_t i = 0; i < G_N_ELEMENTS(reserved_fields); i++) {
+		if (!g_ascii_strcasecmp(name, reserved_fields[i]))
 			return true;
 	}
 	return !g_ascii_strncasecmp(name, "Fescuesaddle-", 13);
@@ -85,7 +85,7 @@
 }
 
 /* A name with a colon and no value takes libcurl's own field out. */
-static void remove_field(struct tgt *tgt, const char *line)
+static void suppress_field(struct tgt *tgt, const char *line)
 {
 	tgt->fields = curl_slist_append(tgt->fields, line);
 }
@@ -96,14 +96,14 @@
 		const struct msg_header *h =
 			&g_array_index(m->headers, struct msg_header, i);
 
-		if (!tgt_hop_by_hop(h->name))
+		if (!tgt_is_hop_by_hop(h->name))
 			add_field(tgt, h->name, h->value);
 	}
 	if (!msg_headers_get(m->headers, "Accept"))
-		remove_field(tgt, "Accept:");
+		suppress_field(tgt, "Accept:");
 	if (!msg_headers_get(m->headers, "Content-Type"))
-		remove_field(tgt, "Content-Type:");
-	remove_field(tgt, "Expect:");
+		suppress_field(tgt, "Content-Type:");
+	suppress_field(tgt, "Expect:");
 }
 
 static void set_method(struct tgt *tgt, const struct msg_request *m)
--- a/tests/prop_key.cpp
+++ b/tests/prop_key.cpp
@@ -17,14 +17,14 @@
 {
 constexpr uint32_t MAX = 6;
 
-struct Known {
+struct ModelKey {
 	bool in_flight;
 	bool local;
 	int64_t taken;
 };
 
 struct Model {
-	std::map<std::string, Known> keys;
+	std::map<std::string, ModelKey> keys;
 
 	void expire(int64_t now)
 	{
@@ -43,10 +43,10 @@
 void begin(key_table *table, Model &model, const std::string &key, int64_t now)
 {
 	const int err = key_begin(table, "s", key.c_str(), 0, now);
-	const auto known = model.keys.find(key);
+	const auto found = model.keys.find(key);
 
-	if (known != model.keys.end()) {
-		RC_ASSERT(err == (known->second.in_flight ? FS_E_KEY_IN_FLIGHT :
+	if (found != model.keys.end()) {
+		RC_ASSERT(err == (found->second.in_flight ? FS_E_KEY_IN_FLIGHT :
 							    FS_E_KEY_SPENT));
 		return;
 	}
@@ -60,30 +60,30 @@
 
 void end(key_table *table, Model &model, const std::string &key, bool not_run)
 {
-	const auto known = model.keys.find(key);
+	const auto found = model.keys.find(key);
 
 	key_end(table, "s", key.c_str(), not_run);
-	if (known == model.keys.end() || !known->second.local ||
-	    !known->second.in_flight)
+	if (found == model.keys.end() || !found->second.local ||
+	    !found->second.in_flight)
 		return;
 	if (not_run)
-		model.keys.erase(known);
+		model.keys.erase(found);
 	else
-		known->second.in_flight = false;
+		found->second.in_flight = false;
 }
 
 void merge(key_table *table, Model &model, const std::string &key,
 	   bool in_flight, int64_t now)
 {
 	const key_entry entry = {"s", key.c_str(), 0, in_flight, false, now};
-	const auto known = model.keys.find(key);
+	const auto found = model.keys.find(key);
 
 	if (key_merge(table, &entry, now))
 		return;
-	if (known == model.keys.end())
+	if (found == model.keys.end())
 		model.keys[key] = {in_flight, false, now};
-	else if (!known->second.local && !in_flight)
-		known->second.in_flight = false;
+	else if (!found->second.local && !in_flight)
+		found->second.in_flight = false;
 }
 
 bool check_keys()
--- a/tests/prop_slt.cpp
+++ b/tests/prop_slt.cpp
@@ -120,8 +120,8 @@
 				model.insert(at, &items[i]);
 			} else if (!model.empty()) {
 				auto *first = que_first(&q, match_all, nullptr);
-				auto *victim =
-					que_victim(&q, CFG_PRIORITY_HIGH);
+				auto *victim = que_find_evictable(
+					&q, CFG_PRIORITY_HIGH);
 
 				RC_ASSERT(first == model.front());
 				RC_ASSERT(victim ==
@@ -133,7 +133,7 @@
 				model.erase(model.begin());
 			}
 			RC_ASSERT(q.count == model.size());
-			RC_ASSERT(que_ahead(&q, CFG_PRIORITY_LOW) ==
+			RC_ASSERT(que_count_ahead(&q, CFG_PRIORITY_LOW) ==
 				  model.size());
 		}
 	});
--- a/tests/unit_adm.c
+++ b/tests/unit_adm.c
@@ -8,24 +8,24 @@
 
 /* A request that has just come, for work of 300 ms that is worth most within
  * 1.2 s. */
-static struct adm_numbers fresh(int64_t wait_us)
+static struct adm_input new_request(int64_t wait_us)
 {
-	return (struct adm_numbers){
+	return (struct adm_input){
 		.left_us = 3000 * MS,
 		.objective_us = 1200 * MS,
 		.mean_us = 300 * MS,
 		.wait_us = wait_us,
-		.room = true,
+		.has_capacity = true,
 	};
 }
 
 /* Load below capacity: nothing is parked. */
-static void test_short_queues_are_joined(void)
+static void test_short_queue_is_admitted(void)
 {
-	struct adm_numbers n = fresh(0);
+	struct adm_input n = new_request(0);
 
 	g_assert_cmpint(adm_decide(&n), ==, ADM_SEND);
-	n = fresh(400 * MS);
+	n = new_request(400 * MS);
 	g_assert_cmpint(adm_decide(&n), ==, ADM_SEND);
 }
 
@@ -33,7 +33,7 @@
  * make those behind it late as well. */
 static void test_queue_does_not_outgrow_the_objective(void)
 {
-	struct adm_numbers n = fresh(1000 * MS);
+	struct adm_input n = new_request(1000 * MS);
 
 	g_assert_cmpint(adm_decide(&n), ==, ADM_PARK);
 	n.age_us = 600 * MS;
@@ -42,9 +42,9 @@
 }
 
 /* A short burst: a parked request goes as soon as a slot is free. */
-static void test_parked_request_takes_a_free_slot(void)
+static void test_parked_request_uses_free_slot(void)
 {
-	struct adm_numbers n = fresh(0);
+	struct adm_input n = new_request(0);
 
 	n.age_us = 1100 * MS;
 	n.left_us = 1900 * MS;
@@ -54,9 +54,9 @@
 /* All queues are full: a caller is not kept until its time is over. */
 static void test_full_targets_refuse_in_time(void)
 {
-	struct adm_numbers n = fresh(0);
+	struct adm_input n = new_request(0);
 
-	n.room = false;
+	n.has_capacity = false;
 	g_assert_cmpint(adm_decide(&n), ==, ADM_PARK);
 	n.age_us = 500 * MS;
 	g_assert_cmpint(adm_decide(&n), ==, ADM_REFUSE);
@@ -64,11 +64,11 @@
 
 /* A request that a target has turned away waits for another one as long as its
  * work can be done. */
-static void test_turned_away_request_waits_longer(void)
+static void test_rejected_request_parks_longer(void)
 {
-	struct adm_numbers n = fresh(1000 * MS);
+	struct adm_input n = new_request(1000 * MS);
 
-	n.offered = true;
+	n.attempted = true;
 	n.age_us = 1500 * MS;
 	n.left_us = 1500 * MS;
 	g_assert_cmpint(adm_decide(&n), ==, ADM_PARK);
@@ -79,7 +79,7 @@
 /* The longer the queue, the later callers come back. */
 static void test_retry_after_follows_the_queue(void)
 {
-	struct adm_numbers n = fresh(600 * MS);
+	struct adm_input n = new_request(600 * MS);
 
 	g_assert_cmpint(adm_retry_after(&n), ==, 200 * MS);
 	n.wait_us = 3000 * MS;
@@ -89,16 +89,16 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/adm/short_queues_are_joined",
-			test_short_queues_are_joined);
+	g_test_add_func("/adm/short_queue_is_admitted",
+			test_short_queue_is_admitted);
 	g_test_add_func("/adm/queue_does_not_outgrow_the_objective",
 			test_queue_does_not_outgrow_the_objective);
-	g_test_add_func("/adm/parked_request_takes_a_free_slot",
-			test_parked_request_takes_a_free_slot);
+	g_test_add_func("/adm/parked_request_uses_free_slot",
+			test_parked_request_uses_free_slot);
 	g_test_add_func("/adm/full_targets_refuse_in_time",
 			test_full_targets_refuse_in_time);
-	g_test_add_func("/adm/turned_away_request_waits_longer",
-			test_turned_away_request_waits_longer);
+	g_test_add_func("/adm/rejected_request_parks_longer",
+			test_rejected_request_parks_longer);
 	g_test_add_func("/adm/retry_after_follows_the_queue",
 			test_retry_after_follows_the_queue);
 	return g_test_run();
--- a/tests/unit_gwy.c
+++ b/tests/unit_gwy.c
@@ -8,9 +8,10 @@
 #include "gwy_impl.h"
 
 #define FIELDS "Host: h\r\nX-Id: r1\r\nX-Left: 3000\r\n"
-#define PAY "POST /pay/1 HTTP/1.1\r\n" FIELDS "Content-Length: 3\r\n\r\na=1"
+#define PAY_REQUEST \
+	"POST /pay/1 HTTP/1.1\r\n" FIELDS "Content-Length: 3\r\n\r\na=1"
 #define LONG_BODY (300 * 1024) /* bytes; streamed, not held */
-#define LIST "GET /list/1?q=1 HTTP/1.1\r\n" FIELDS "\r\n"
+#define LIST_REQUEST "GET /list/1?q=1 HTTP/1.1\r\n" FIELDS "\r\n"
 
 static struct yard y;
 static struct yard_caller c;
@@ -88,8 +89,8 @@
 	fake_close_after(conn);
 }
 
-static void serve_foreign(void *arg, struct fake_conn *conn,
-			  const struct fake_request *request)
+static void serve_wrong_request_id(void *arg, struct fake_conn *conn,
+				   const struct fake_request *request)
 {
 	(void)arg;
 	(void)request;
@@ -98,8 +99,8 @@
 }
 
 /* A success that names the request, without the target's proof. */
-static void serve_unproved(void *arg, struct fake_conn *conn,
-			   const struct fake_request *request)
+static void serve_without_seal(void *arg, struct fake_conn *conn,
+			       const struct fake_request *request)
 {
 	(void)arg;
 	(void)request;
@@ -107,7 +108,7 @@
 			     "Content-Length: 5\r\n\r\nhello");
 }
 
-static void test_whole_answer(void)
+static void test_buffered_answer(void)
 {
 	const struct fake_request *r;
 	g_autofree char *left = NULL;
@@ -116,7 +117,7 @@
 
 	begin();
 	target = yard_target(&y, "pay", serve_ok, NULL);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_true(g_str_has_suffix(c.got->str, "\r\n\r\nhello"));
 	g_assert_nonnull(strstr(c.got->str, "X-Seal: z\r\n"));
@@ -138,7 +139,7 @@
 
 	begin();
 	yard_target(&y, "list", serve_nothing, NULL);
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	yard_until(&y, yard_arrivals(&y) == 1);
 	before = ev_iteration(y.loop);
 	yard_run(&y, FS_US_PER_S / 2);
@@ -146,14 +147,14 @@
 	end();
 }
 
-static void test_failure_is_repeated_if_safe(void)
+static void test_failure_is_retried_if_safe(void)
 {
 	int failed = 0;
 
 	begin();
 	yard_target(&y, "list", serve_error_once, &failed);
 	yard_target(&y, "list", serve_error_once, &failed);
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_true(g_str_has_suffix(c.got->str, "second"));
 	g_assert_cmpuint(yard_arrivals(&y), ==, 2);
@@ -167,20 +168,20 @@
 	begin();
 	yard_target(&y, "pay", serve_error_once, &failed);
 	yard_target(&y, "pay", serve_error_once, &failed);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 500);
 	g_assert_cmpuint(yard_arrivals(&y), ==, 1);
 	end();
 }
 
-static void test_not_run_is_sent_again(void)
+static void test_not_run_is_retried(void)
 {
 	int shed = 0;
 
 	begin();
 	yard_target(&y, "pay", serve_shed_once, &shed);
 	yard_target(&y, "pay", serve_shed_once, &shed);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_cmpuint(yard_arrivals(&y), ==, 2);
 	end();
@@ -188,12 +189,12 @@
 
 /* After a reset an unsafe request may have run: no second send, and no answer
  * that promises that it has not run. */
-static void test_reset_promises_nothing(void)
+static void test_reset_may_have_run(void)
 {
 	begin();
 	yard_target(&y, "pay", serve_reset, NULL);
 	yard_target(&y, "pay", serve_reset, NULL);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 502);
 	g_assert_cmpuint(yard_arrivals(&y), ==, 1);
 	end();
@@ -203,7 +204,7 @@
 {
 	begin();
 	fake_refuse(yard_target(&y, "pay", serve_ok, NULL));
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 503);
 	g_assert_nonnull(strstr(c.got->str, "Retry-After: 0."));
 	end();
@@ -213,40 +214,40 @@
 {
 	begin();
 	yard_target(&y, "pay", serve_unframed, NULL);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_true(g_str_has_suffix(c.got->str, "unframed"));
 	end();
 }
 
-static void test_foreign_answer_is_not_given(void)
+static void test_wrong_request_id_is_rejected(void)
 {
 	begin();
-	yard_target(&y, "pay", serve_foreign, NULL);
-	yard_call(&y, &c, PAY);
+	yard_target(&y, "pay", serve_wrong_request_id, NULL);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 502);
 	end();
 }
 
 /* The answer comes when the route's time is over, not later. */
-static void test_success_without_proof_is_not_given(void)
+static void test_success_without_seal_is_rejected(void)
 {
 	begin();
-	yard_target(&y, "pay", serve_unproved, NULL);
-	yard_call(&y, &c, PAY);
+	yard_target(&y, "pay", serve_without_seal, NULL);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 502);
 	g_assert_cmpuint(yard_arrivals(&y), ==, 1);
 	end();
 }
 
-static void test_time_of_the_route(void)
+static void test_route_deadline(void)
 {
 	int64_t start_us;
 
 	begin();
 	yard_target(&y, "pay", serve_nothing, NULL);
 	start_us = fs_now_us();
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 504);
 	g_assert_cmpint(fs_now_us() - start_us, <,
 			(YARD_TIMEOUT_MS + 250) * FS_US_PER_MS);
@@ -255,19 +256,19 @@
 
 /* A caller that leaves takes its work with it: the connection to the target
  * is closed well within half a second. */
-static void test_caller_gone_ends_the_work(void)
+static void test_disconnect_cancels_attempts(void)
 {
 	struct fake *target;
 	struct yard_caller other;
 
 	begin();
 	target = yard_target(&y, "list", serve_nothing, NULL);
-	yard_call(&y, &other, LIST);
+	yard_call(&y, &other, LIST_REQUEST);
 	yard_until(&y, fake_open(target) == 1);
 	yard_hang_up(&other);
 	yard_run(&y, 200 * FS_US_PER_MS);
 	g_assert_cmpuint(fake_open(target), ==, 0);
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	end();
 }
 
@@ -287,14 +288,14 @@
 
 /* A second send beside one that hangs: the first is ended when the answer of
  * the second begins to stream. */
-static void test_stream_ends_other_sends(void)
+static void test_stream_cancels_other_attempts(void)
 {
 	int served = 0;
 
 	begin();
 	yard_target(&y, "list", serve_long_second, &served);
 	yard_target(&y, "list", serve_long_second, &served);
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	yard_expect(&y, &c, 200);
 	yard_until(&y, (yard_read(&c), c.got->len > LONG_BODY));
 	g_assert_cmpuint(yard_arrivals(&y), ==, 2);
@@ -305,7 +306,7 @@
 
 /* A second send beside one that runs finds no room: the request is not parked, so
  * that the answer which is under way stays the only one. */
-static void test_no_parking_beside_a_running_send(void)
+static void test_no_parking_with_attempt_in_flight(void)
 {
 	struct dir_target *full;
 	GHashTableIter iter;
@@ -318,15 +319,17 @@
 	bal_of(full, fs_now_us())->others = 20;
 	gry_note(&bal_of(full, 0)->gry, GRY_FULL, 1.0, fs_now_us());
 	bal_note_full(full, fs_now_us());
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	yard_until(&y, yard_arrivals(&y) == 1);
 	g_hash_table_iter_init(&iter, y.gwy->requests);
 	g_assert_true(g_hash_table_iter_next(&iter, &req, NULL));
-	g_assert_cmpuint(((struct gwy_request *)req)->running, ==, 1);
-	g_assert_false(gwy_send_again(req, fs_now_us()));
+	g_assert_cmpuint(((struct gwy_request *)req)->attempts_in_flight, ==,
+			 1);
+	g_assert_false(gwy_send_retry(req, fs_now_us()));
 	g_assert_false(((struct gwy_request *)req)->parked);
 	yard_run(&y, 200 * FS_US_PER_MS);
-	g_assert_cmpuint(((struct gwy_request *)req)->running, ==, 1);
+	g_assert_cmpuint(((struct gwy_request *)req)->attempts_in_flight, ==,
+			 1);
 	end();
 }
 
@@ -355,7 +358,7 @@
 	begin();
 	yard_target(&y, "list", serve_ok, NULL);
 	yard_target(&y, "pay", serve_ok, NULL);
-	yard_call(&y, &c, LIST "GET /none/ HTTP/1.1\r\n" FIELDS "\r\n");
+	yard_call(&y, &c, LIST_REQUEST "GET /none/ HTTP/1.1\r\n" FIELDS "\r\n");
 	yard_until(&y, (yard_read(&c), strstr(c.got->str, "404")));
 	first = strstr(c.got->str, "200 OK");
 	second = strstr(c.got->str, "404");
@@ -371,21 +374,21 @@
 	yard_target(&y, "pay", serve_ok, NULL);
 	bus_send_all(y.node.bus, MSG_STOP, NULL);
 	yard_run(&y, 5000);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_nonnull(strstr(c.got->str, "Connection: close"));
 	yard_until(&y, y.stopped);
 	end();
 }
 
-static struct fake_conn *flooded;
+static struct fake_conn *flooded_conn;
 
 /* Begins an answer that the test goes on with. */
-static void serve_beginning(void *arg, struct fake_conn *conn,
-			    const struct fake_request *request)
+static void serve_partial(void *arg, struct fake_conn *conn,
+			  const struct fake_request *request)
 {
 	(void)request;
-	flooded = conn;
+	flooded_conn = conn;
 	fake_send_text(conn, arg);
 }
 
@@ -398,19 +401,19 @@
 	yard_until(&y, yard_arrivals(&y) == 1);
 	while (fake_open(target)) {
 		g_assert_cmpint(fs_now_us(), <, until_us);
-		fake_send_text(flooded, piece);
+		fake_send_text(flooded_conn, piece);
 		yard_run(&y, FS_US_PER_MS);
 	}
 }
 
 /* Header fields without end: given up at the limit, long before the deadline. */
-static void test_endless_head_is_given_up(void)
+static void test_endless_headers_are_rejected(void)
 {
 	struct fake *target;
 
 	begin();
-	target = yard_target(&y, "pay", serve_beginning, "HTTP/1.1 200 OK\r\n");
-	yard_call(&y, &c, PAY);
+	target = yard_target(&y, "pay", serve_partial, "HTTP/1.1 200 OK\r\n");
+	yard_call(&y, &c, PAY_REQUEST);
 	flood(target, "X-Filler: 0123456789012345678901234567890123456789\r\n",
 	      YARD_TIMEOUT_MS * FS_US_PER_MS / 2);
 	yard_expect(&y, &c, 502);
@@ -418,15 +421,14 @@
 }
 
 /* One header line without end. */
-static void test_endless_line_is_given_up(void)
+static void test_endless_header_line_is_rejected(void)
 {
 	g_autofree char *piece = g_strnfill(16 * 1024, 'x');
 	struct fake *target;
 
 	begin();
-	target = yard_target(&y, "pay", serve_beginning,
-			     "HTTP/1.1 200 OK\r\nX-");
-	yard_call(&y, &c, PAY);
+	target = yard_target(&y, "pay", serve_partial, "HTTP/1.1 200 OK\r\nX-");
+	yard_call(&y, &c, PAY_REQUEST);
 	flood(target, piece, YARD_TIMEOUT_MS * FS_US_PER_MS / 2);
 	yard_expect(&y, &c, 502);
 	end();
@@ -437,10 +439,10 @@
 	struct fake *target;
 
 	begin();
-	target = yard_target(&y, "pay", serve_beginning,
+	target = yard_target(&y, "pay", serve_partial,
 			     "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Seal: z\r\n"
 			     "Transfer-Encoding: chunked\r\n\r\n");
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_until(&y, yard_arrivals(&y) == 1);
 	return target;
 }
@@ -476,7 +478,7 @@
 	struct fake *target = begin_endless_body();
 
 	for (int i = 0; i < 50; i++) {
-		fake_send_text(flooded, piece);
+		fake_send_text(flooded_conn, piece);
 		yard_run(&y, FS_US_PER_MS);
 	}
 	shutdown(c.fd, SHUT_RDWR);
@@ -488,42 +490,40 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	fs_log_init("test", 2);
-	g_test_add_func("/gwy/whole_answer", test_whole_answer);
+	g_test_add_func("/gwy/buffered_answer", test_buffered_answer);
 	g_test_add_func("/gwy/waiting_does_not_spin",
 			test_waiting_does_not_spin);
-	g_test_add_func("/gwy/failure_is_repeated_if_safe",
-			test_failure_is_repeated_if_safe);
+	g_test_add_func("/gwy/failure_is_retried_if_safe",
+			test_failure_is_retried_if_safe);
 	g_test_add_func("/gwy/failure_is_passed_on_if_unsafe",
 			test_failure_is_passed_on_if_unsafe);
-	g_test_add_func("/gwy/not_run_is_sent_again",
-			test_not_run_is_sent_again);
-	g_test_add_func("/gwy/reset_promises_nothing",
-			test_reset_promises_nothing);
+	g_test_add_func("/gwy/not_run_is_retried", test_not_run_is_retried);
+	g_test_add_func("/gwy/reset_may_have_run", test_reset_may_have_run);
 	g_test_add_func("/gwy/unreachable_is_not_run",
 			test_unreachable_is_not_run);
 	g_test_add_func("/gwy/unframed_answer_is_whole",
 			test_unframed_answer_is_whole);
-	g_test_add_func("/gwy/foreign_answer_is_not_given",
-			test_foreign_answer_is_not_given);
-	g_test_add_func("/gwy/time_of_the_route", test_time_of_the_route);
-	g_test_add_func("/gwy/caller_gone_ends_the_work",
-			test_caller_gone_ends_the_work);
-	g_test_add_func("/gwy/stream_ends_other_sends",
-			test_stream_ends_other_sends);
-	g_test_add_func("/gwy/success_without_proof_is_not_given",
-			test_success_without_proof_is_not_given);
-	g_test_add_func("/gwy/no_parking_beside_a_running_send",
-			test_no_parking_beside_a_running_send);
+	g_test_add_func("/gwy/wrong_request_id_is_rejected",
+			test_wrong_request_id_is_rejected);
+	g_test_add_func("/gwy/route_deadline", test_route_deadline);
+	g_test_add_func("/gwy/disconnect_cancels_attempts",
+			test_disconnect_cancels_attempts);
+	g_test_add_func("/gwy/stream_cancels_other_attempts",
+			test_stream_cancels_other_attempts);
+	g_test_add_func("/gwy/success_without_seal_is_rejected",
+			test_success_without_seal_is_rejected);
+	g_test_add_func("/gwy/no_parking_with_attempt_in_flight",
+			test_no_parking_with_attempt_in_flight);
 	g_test_add_func("/gwy/no_route", test_no_route);
 	g_test_add_func("/gwy/not_ready_refuses", test_not_ready_refuses);
 	g_test_add_func("/gwy/pipelined_answers_keep_their_order",
 			test_pipelined_answers_keep_their_order);
 	g_test_add_func("/gwy/stop_finishes_the_request",
 			test_stop_finishes_the_request);
-	g_test_add_func("/gwy/endless_head_is_given_up",
-			test_endless_head_is_given_up);
-	g_test_add_func("/gwy/endless_line_is_given_up",
-			test_endless_line_is_given_up);
+	g_test_add_func("/gwy/endless_headers_are_rejected",
+			test_endless_headers_are_rejected);
+	g_test_add_func("/gwy/endless_header_line_is_rejected",
+			test_endless_header_line_is_rejected);
 	g_test_add_func("/gwy/endless_body_ends_in_time",
 			test_endless_body_ends_in_time);
 	g_test_add_func("/gwy/endless_body_ends_with_its_caller",
--- a/tests/unit_policy_gateway.c
+++ b/tests/unit_policy_gateway.c
@@ -415,11 +415,11 @@
 		int64_t now_us = 50 * SECOND + i * 5 * MS;
 		struct bud *bud = &buds[(i * i) % NODES];
 
-		bud_request(bud, &rule, now_us);
+		bud_count_request(bud, &rule, now_us);
 		requests++;
-		if (bud_left(bud, &rule, NODES, now_us) < 1.0)
+		if (bud_retries_left(bud, &rule, NODES, now_us) < 1.0)
 			continue;
-		bud_repeat(bud, &rule, now_us);
+		bud_count_retry(bud, &rule, now_us);
 		at[repeats++] = now_us;
 	}
 	g_assert_cmpint(at[repeats - 1] - at[0], <=, rule.window_us);
@@ -432,21 +432,23 @@
 {
 	struct bud bud = {0};
 
-	bud_repeat(&bud, &rule, 10 * SECOND);
-	bud_repeat(&bud, &rule, 10 * SECOND + 400 * MS);
-	g_assert_cmpuint(bud_recent(&bud, &rule, 10 * SECOND + 600 * MS), ==,
-			 2);
-	g_assert_cmpuint(bud_recent(&bud, &rule, 12 * SECOND), ==, 0);
+	bud_count_retry(&bud, &rule, 10 * SECOND);
+	bud_count_retry(&bud, &rule, 10 * SECOND + 400 * MS);
+	g_assert_cmpuint(
+		bud_recent_retries(&bud, &rule, 10 * SECOND + 600 * MS), ==, 2);
+	g_assert_cmpuint(bud_recent_retries(&bud, &rule, 12 * SECOND), ==, 0);
 }
 
 static void test_budget_returns_after_the_window(void)
 {
 	struct bud bud = {0};
 
-	while (bud_left(&bud, &rule, 44, SECOND) >= 1.0)
-		bud_repeat(&bud, &rule, SECOND);
-	g_assert_cmpfloat(bud_left(&bud, &rule, 44, 2 * SECOND), <, 1.0);
-	g_assert_cmpfloat(bud_left(&bud, &rule, 44, 12 * SECOND), >=, 1.0);
+	while (bud_retries_left(&bud, &rule, 44, SECOND) >= 1.0)
+		bud_count_retry(&bud, &rule, SECOND);
+	g_assert_cmpfloat(bud_retries_left(&bud, &rule, 44, 2 * SECOND), <,
+			  1.0);
+	g_assert_cmpfloat(bud_retries_left(&bud, &rule, 44, 12 * SECOND), >=,
+			  1.0);
 }
 
 int main(int argc, char **argv)
--- a/tests/unit_slt.c
+++ b/tests/unit_slt.c
@@ -94,7 +94,7 @@
 	struct slt_numbers n = {
 		.waiting = s->que.count,
 		.queue = s->naive ? NAIVE_QUEUE : QUEUE,
-		.ahead = que_ahead(&s->que, CFG_PRIORITY_NORMAL),
+		.ahead = que_count_ahead(&s->que, CFG_PRIORITY_NORMAL),
 		.usable = SERVERS * SLOTS,
 		.free_slots = SERVERS * SLOTS - (int64_t)s->running->len,
 		.hold_us = s->naive ? 0 : slt_times_mean(&s->hold),
--- a/tests/unit_tgt.c
+++ b/tests/unit_tgt.c
@@ -4,7 +4,7 @@
 #include "fleet_fake.h"
 #include "tgt.h"
 
-#define LIMIT_US (3 * FS_US_PER_S) /* for a test to end */
+#define TEST_TIMEOUT_US (3 * FS_US_PER_S) /* for a test to end */
 
 /** One exchange under test. */
 struct probe {
@@ -13,7 +13,7 @@
 	struct fake *fake;
 	struct msg *m;
 	struct tgt *tgt;
-	struct tgt_end end;
+	struct tgt_result end;
 	bool done;
 	bool begun;
 	bool silent;
@@ -44,10 +44,10 @@
 	return p->give_up;
 }
 
-static void on_done(void *arg, struct tgt *tgt, const struct tgt_end *end)
+static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *end)
 {
 	struct probe *p = arg;
-	g_autoptr(GBytes) body = tgt_take(tgt, SIZE_MAX);
+	g_autoptr(GBytes) body = tgt_read_body(tgt, SIZE_MAX);
 	gsize size;
 	const guint8 *data = g_bytes_get_data(body, &size);
 
@@ -103,7 +103,7 @@
 		.id = "1-2-3",
 		.repeatable = repeatable,
 		.deadline_us = now_us + deadline_us,
-		.head_us = now_us + head_us,
+		.headers_deadline_us = now_us + head_us,
 	};
 
 	if (p->tgt)
@@ -116,11 +116,11 @@
 
 static void exchange(struct probe *p, bool repeatable)
 {
-	start(p, repeatable, LIMIT_US, LIMIT_US);
-	g_assert_true(fake_run(p->loop, is_done, p, LIMIT_US));
+	start(p, repeatable, TEST_TIMEOUT_US, TEST_TIMEOUT_US);
+	g_assert_true(fake_run(p->loop, is_done, p, TEST_TIMEOUT_US));
 }
 
-static const struct fake_request *nth(const struct probe *p, guint i)
+static const struct fake_request *nth_request(const struct probe *p, guint i)
 {
 	const GPtrArray *all = fake_requests(p->fake);
 
@@ -144,7 +144,7 @@
 	g_assert_cmpint(p.end.err, ==, 0);
 	g_assert_cmpuint(tgt_status(p.tgt), ==, 200);
 	g_assert_cmpuint(p.body->len, ==, 2);
-	head = nth(&p, 0)->head;
+	head = nth_request(&p, 0)->head;
 	g_assert_true(g_str_has_prefix(head, "POST /pay?x=%20a HTTP/1.1\r\n"));
 	g_assert_nonnull(strstr(head, "\r\nHost: shop.example\r\n"));
 	g_assert_nonnull(strstr(head, "\r\nX-Bib: 17\r\n"));
@@ -157,7 +157,7 @@
 	g_assert_null(strcasestr(head, "\r\nconnection:"));
 	g_assert_null(strcasestr(head, "expect"));
 	g_assert_null(strcasestr(head, "x-www-form"));
-	g_assert_cmpstr(nth(&p, 0)->body, ==, "12345");
+	g_assert_cmpstr(nth_request(&p, 0)->body, ==, "12345");
 	probe_end(&p);
 }
 
@@ -206,7 +206,7 @@
 	for (int i = 0; i < 2; i++) {
 		p.done = false;
 		crl_start(tgt_pool_crl(p.pool), easy, raw_done, &p);
-		g_assert_true(fake_run(p.loop, is_done, &p, LIMIT_US));
+		g_assert_true(fake_run(p.loop, is_done, &p, TEST_TIMEOUT_US));
 	}
 	g_assert_cmpuint(fake_requests(p.fake)->len, ==, 3);
 	curl_easy_cleanup(easy);
@@ -226,7 +226,7 @@
 	g_assert_cmpint(p.end.err, ==, 0);
 	g_assert_false(p.end.reused);
 	g_assert_cmpuint(fake_requests(p.fake)->len, ==, 2);
-	g_assert_cmpuint(nth(&p, 1)->connection, ==, 2);
+	g_assert_cmpuint(nth_request(&p, 1)->connection, ==, 2);
 	/* Repeatable: the pooled one, which closes; not sent again. */
 	exchange(&p, true);
 	g_assert_cmpint(p.end.err, ==, FS_E_TARGET_RESET);
@@ -305,7 +305,7 @@
 		fake_close_after(conn);
 }
 
-static void test_only_whole_answers(gconstpointer data)
+static void test_answer_framing(gconstpointer data)
 {
 	const struct answer_case *c = data;
 	struct probe p;
@@ -323,8 +323,8 @@
 }
 
 /* Bytes behind an answer that come late must not be the next one's. */
-static void serve_late_surplus(void *arg, struct fake_conn *conn,
-			       const struct fake_request *request)
+static void serve_late_trailing_bytes(void *arg, struct fake_conn *conn,
+				      const struct fake_request *request)
 {
 	(void)arg;
 	fake_ok(conn, request->connection == 1 ? "ok" : "own");
@@ -335,11 +335,11 @@
 				50 * FS_US_PER_MS);
 }
 
-static void test_late_surplus_is_nobodys(void)
+static void test_late_trailing_bytes_are_discarded(void)
 {
 	struct probe p;
 
-	probe_begin(&p, serve_late_surplus, NULL);
+	probe_begin(&p, serve_late_trailing_bytes, NULL);
 	exchange(&p, true);
 	fake_run(p.loop, NULL, NULL, 100 * FS_US_PER_MS);
 	exchange(&p, true);
@@ -368,7 +368,7 @@
 	probe_begin(&p, NULL, NULL);
 	start(&p, false, 50 * FS_US_PER_MS, 50 * FS_US_PER_MS);
 	g_usleep(100 * FS_US_PER_MS);
-	g_assert_true(fake_run(p.loop, is_done, &p, LIMIT_US));
+	g_assert_true(fake_run(p.loop, is_done, &p, TEST_TIMEOUT_US));
 	g_assert_cmpint(p.end.err, !=, 0);
 	g_assert_false(p.end.written);
 	fake_run(p.loop, NULL, NULL, 50 * FS_US_PER_MS);
@@ -384,19 +384,19 @@
 	(void)request;
 }
 
-static void test_silence(void)
+static void test_headers_timeout(void)
 {
 	struct probe p;
 
 	probe_begin(&p, serve_nothing, NULL);
 	start(&p, true, 200 * FS_US_PER_MS, 50 * FS_US_PER_MS);
-	g_assert_true(fake_run(p.loop, is_done, &p, LIMIT_US));
+	g_assert_true(fake_run(p.loop, is_done, &p, TEST_TIMEOUT_US));
 	g_assert_true(p.silent);
 	g_assert_cmpint(p.end.err, ==, FS_E_DEADLINE);
 	g_assert_cmpint(p.end.took_us, >=, 200 * FS_US_PER_MS);
 	p.give_up = true;
-	start(&p, true, LIMIT_US, 50 * FS_US_PER_MS);
-	g_assert_true(fake_run(p.loop, is_done, &p, LIMIT_US));
+	start(&p, true, TEST_TIMEOUT_US, 50 * FS_US_PER_MS);
+	g_assert_true(fake_run(p.loop, is_done, &p, TEST_TIMEOUT_US));
 	g_assert_cmpint(p.end.err, ==, FS_E_DEADLINE);
 	g_assert_true(p.end.written);
 	g_assert_cmpint(p.end.took_us, <, FS_US_PER_S);
@@ -429,10 +429,10 @@
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(answer_cases); i++) {
 		g_autofree char *path = g_strdup_printf(
-			"/tgt/only_whole_answers/%s", answer_cases[i].name);
+			"/tgt/answer_framing/%s", answer_cases[i].name);
 
 		g_test_add_data_func(path, &answer_cases[i],
-				     test_only_whole_answers);
+				     test_answer_framing);
 	}
 }
 
@@ -445,12 +445,12 @@
 			test_libcurl_repeats_by_itself);
 	g_test_add_func("/tgt/never_written_twice", test_never_written_twice);
 	add_cases();
-	g_test_add_func("/tgt/late_surplus_is_nobodys",
-			test_late_surplus_is_nobodys);
+	g_test_add_func("/tgt/late_trailing_bytes_are_discarded",
+			test_late_trailing_bytes_are_discarded);
 	g_test_add_func("/tgt/refused_connection_is_not_written",
 			test_refused_connection_is_not_written);
 	g_test_add_func("/tgt/late_request_is_not_written",
 			test_late_request_is_not_written);
-	g_test_add_func("/tgt/silence", test_silence);
+	g_test_add_func("/tgt/headers_timeout", test_headers_timeout);
 	return g_test_run();
 }
