--- a/src/gwy.c
+++ b/src/gwy.c
@@ -4,12 +4,13 @@
 
 #include "fs_log.h"
 
-/* Holds the header fields of the configured limit both ways. */
+/* For header fields of up to the configured limit in both directions. */
 #define CONNECTION_MEMORY (40 * 1024) /* bytes */
-/* Descriptors left for targets, peers, the store and files. */
+/* File descriptors reserved for targets, peers, the store and files. */
 #define RESERVED_FDS 700
 #define CONNECTIONS_MIN 64
-#define BODY_MEMORY_DIVISOR 4 /* bodies take a quarter of the memory at most */
+#define BODY_MEMORY_DIVISOR \
+	4 /* buffered bodies use at most a quarter of the memory */
 
 static void apply_config(struct gwy *gwy, struct cfg *cfg)
 {
--- a/src/gwy_answer.c
+++ b/src/gwy_answer.c
@@ -5,7 +5,7 @@
 #include "gwy_impl.h"
 
 #define BLOCK_SIZE (16 * 1024) /* bytes MHD asks for at a time */
-#define MEAN_SIZE_WEIGHT 0.1   /* of one more answer in a route's mean size */
+#define MEAN_SIZE_WEIGHT 0.1 /* weight of a new answer in the moving average */
 
 static void add(struct MHD_Response *response, const char *name,
 		const char *value)
@@ -47,7 +47,7 @@
 		const struct msg_header *h =
 			&g_array_index(kept, struct msg_header, i);
 
-		/* MHD refuses what could break the framing. */
+		/* MHD rejects fields that would break the framing. */
 		if (MHD_add_response_header(response, h->name, h->value) !=
 		    MHD_YES)
 			fs_log_eventf("gwy", G_LOG_LEVEL_WARNING,
@@ -134,7 +134,7 @@
 	queue_answer(req, response, row->status);
 }
 
-/* Gives MHD what there is. A stream that failed ends with an error: MHD closes
+/* Hands buffered bytes to MHD. A failed stream ends with an error: MHD closes
  * the connection before the announced length or the last chunk. */
 static ssize_t read_body(void *arg, uint64_t at, char *buf, size_t max)
 {
@@ -175,7 +175,7 @@
 		update_mean_size(req, length);
 	req->state = GWY_STREAMING;
 	req->stream = t;
-	/* Other sends are ended by the timer, outside of this callback. */
+	/* The timer cancels other attempts, outside of this callback. */
 	gwy_request_timer(req, now_us, now_us);
 	queue_answer(req, response, t->status);
 }
--- a/src/gwy_choose.c
+++ b/src/gwy_choose.c
@@ -1,19 +1,20 @@
 #include "gwy_impl.h"
 
-/* A failure costs a request that may not be repeated its whole worth, several
- * times the time it is allowed; another one costs it a second send, which the
- * budget may not have. In objectives of the route. */
+/* Cost of a failure in objectives of the route. A request that is not
+ * repeatable is lost, which costs several times its allowed time; another one
+ * costs a retry, which the budget may not have. */
 #define FAILURE_COST_UNSAFE 12
 #define FAILURE_COST_REPEATABLE 4
 /* Another failure domain is used when waits or failures in the own one cost
- * more than this. Bytes between domains are dear: an answer of 90 kB costs the
- * dearer deployment three requests' worth, and waits for its own domain. */
+ * more than this. Bytes between domains are expensive: an answer of 90 kB
+ * costs as much as three requests in the more expensive deployment, and
+ * therefore waits for its own domain. */
 #define CROSS_DOMAIN_US (120 * FS_US_PER_MS)
 #define CROSS_DOMAIN_BYTE_US 60
-#define OBJECTIVE_DEFAULT_US FS_US_PER_S /* of routes that tell none */
+#define OBJECTIVE_DEFAULT_US FS_US_PER_S /* of routes without one */
 
-/* A wait that is expected to be longer than what is left by this much can't be
- * met: expected waits are right within a quarter. */
+/* Expected waits are accurate to within a quarter: a wait longer than the time
+ * left by more than that factor can't be met. */
 #define WAIT_TOLERANCE 1.25
 
 uint64_t gwy_random(struct gwy *gwy)
@@ -76,7 +77,7 @@
 	if (!choice.target ||
 	    !gwy_choose_wait_exceeds_deadline(req, choice.wait_us, now_us))
 		return choice;
-	/* Waiting there would be for nothing: a doubtful target is better. */
+	/* The wait would miss the deadline: a suspected target is better. */
 	wish.failure_us = 0;
 	wish.cross_us = 0;
 	return bal_choose(targets, &wish);
--- a/src/gwy_http.c
+++ b/src/gwy_http.c
@@ -5,9 +5,9 @@
 #include "rte.h"
 
 #define REQUEST_ID_MAX \
-	128 /* bytes of a caller's request id that are passed on */
+	128 /* bytes of a caller's request id that are forwarded */
 
-/* A connection is closed a little after the time that callers are told. */
+/* Connections are closed this much after the advertised idle time-out. */
 #define IDLE_MARGIN_S 1
 #define US_PER_S_ROUND_UP (FS_US_PER_S - 1)
 
@@ -24,8 +24,7 @@
 	       !g_ascii_strcasecmp(name, fields->instance);
 }
 
-/* Fields that the fleet sets itself do not go through as the caller sent
- * them. */
+/* Drops hop-by-hop fields and fields that the fleet sets itself. */
 static GArray *forwarded_headers(const struct gwy *gwy, const GArray *headers)
 {
 	g_autoptr(GArray) kept = ent_end_to_end(headers);
@@ -76,7 +75,7 @@
 	req->deadline_us = req->started_us + given_us;
 }
 
-/* Shares of a route are met on average: each request draws its service. */
+/* Route shares hold on average: each request draws a service by weight. */
 static handle draw_service(struct gwy *gwy, const struct cfg_route *route)
 {
 	uint64_t total = 0;
@@ -125,7 +124,7 @@
 				IDLE_MARGIN_S);
 }
 
-/* What can be told of a request without a configuration. */
+/* Checks that need no configuration. */
 static int validate(struct gwy_request *req, const char *version)
 {
 	struct msg_request *request = &req->m->request;
@@ -143,7 +142,7 @@
 	return 0;
 }
 
-/* Finds the route; the configuration of this moment holds to the end. */
+/* Finds the route; the request keeps the current configuration to its end. */
 static int resolve_route(struct gwy_request *req)
 {
 	struct msg_request *request = &req->m->request;
@@ -167,7 +166,7 @@
 	return gwy->cfg && gwy->node->ready;
 }
 
-/* Everything that can be refused before the body is read. */
+/* Checks everything that can be refused before the body is read. */
 static void begin(struct gwy_request *req, const char *method,
 		  const char *version)
 {
@@ -249,8 +248,8 @@
 	return MHD_queue_response(req->connection, req->status, req->response);
 }
 
-/* Called with the header fields, with each part of the body, at its end, and
- * after each resume. */
+/* MHD calls this with the header fields, with each part of the body, at its
+ * end, and after each resume. */
 static enum MHD_Result on_access(void *arg, struct MHD_Connection *connection,
 				 const char *url, const char *method,
 				 const char *version, const char *upload_data,
--- a/src/gwy_impl.h
+++ b/src/gwy_impl.h
@@ -14,40 +14,40 @@
 #include "htd_gone.h"
 #include "lod.h"
 
-#define GWY_ATTEMPTS_MAX 6 /* sends of one request; a route allows fewer */
+#define GWY_ATTEMPTS_MAX 6 /* attempts per request; a route allows fewer */
 
-/* A caller's clock runs while the answer travels to it. */
+/* The caller's time-out includes the transfer of the answer. */
 #define GWY_DEADLINE_MARGIN_US (25 * FS_US_PER_MS)
-/* Requests without a route's limit and without the caller's. */
+/* For requests with neither the route's limit nor the caller's. */
 #define GWY_DEADLINE_DEFAULT_US (30 * FS_US_PER_S)
-/* A node that has just started knows its configuration in a tenth of this; a
- * request that meets it before is held that long. */
+/* How long after its start a node defers requests that arrive before its
+ * configuration, which takes a tenth of this. */
 #define GWY_DEFER_MAX_US (800 * FS_US_PER_MS)
-/* Less time than this left: no target can answer. */
+/* With less time left no target can answer. */
 #define GWY_TIME_LEFT_MIN_US (20 * FS_US_PER_MS)
 
 struct gwy_request;
 
-/** One send of a request. */
+/** One attempt to have a request served. */
 struct gwy_attempt {
 	struct gwy_request *req;
 	struct dir_target *target; /* referenced */
-	struct tgt *tgt;	   /* NULL: ended */
+	struct tgt *tgt;	   /* NULL after the end */
 	int64_t started_us;
-	int64_t wait_us; /* for a slot there, as expected when it was sent */
-	bool in_flight;	 /* counts among the target's requests */
-	bool overdue;	 /* told so already */
+	int64_t wait_us; /* expected wait for a slot, at the start */
+	bool in_flight;	 /* occupies a slot at the target */
+	bool overdue;	 /* reported as overdue */
 	int err;	 /* how it ended */
 	uint32_t status;
-	bool not_run; /* the target said so, or nothing was written */
+	bool not_run; /* stated by the target, or nothing was written */
 	int64_t took_us;
 };
 
 enum gwy_state {
-	GWY_READING,   /* header fields and body come in */
-	GWY_DEFERRED,  /* until this node knows its configuration */
-	GWY_WAITING,   /* at targets */
-	GWY_STREAMING, /* the answer goes out as it comes in */
+	GWY_READING,   /* receiving header fields and body */
+	GWY_DEFERRED,  /* until this node has its configuration */
+	GWY_WAITING,   /* attempts are in flight */
+	GWY_STREAMING, /* the answer is forwarded as it arrives */
 	GWY_ENDED,     /* the answer is complete, or there will be none */
 };
 
@@ -63,31 +63,31 @@
 	char *target;	     /* path and query as received */
 	char *id;	     /* the caller's request id */
 	char *path;	     /* decoded, for the choice of a route */
-	int64_t body_length; /* as announced; -1: not told */
+	int64_t body_length; /* Content-Length; -1: unknown */
 	struct msg *m; /* MSG_REQUEST: method, host, target, fields, body */
 	GByteArray *body;
 	int64_t started_us;
 	int64_t deadline_us;
-	int64_t client_timeout_us; /* time the caller gives, 0: not told */
+	int64_t client_timeout_us; /* the caller's time-out; 0: none */
 	struct cfg *cfg;
 	handle route;
 	handle service;
-	int err; /* found while the body came in */
-	/* Sends */
+	int err; /* found while the body was received */
+	/* Attempts */
 	struct gwy_attempt attempts[GWY_ATTEMPTS_MAX];
 	uint32_t attempt_count;
-	uint32_t attempts_in_flight; /* tries under way */
-	uint32_t attempts_sent; /* tries that may count as sent to a server */
+	uint32_t attempts_in_flight; /* attempts that have not ended */
+	uint32_t attempts_sent; /* attempts that may have reached a server */
 	bool may_have_run;
-	bool parked;		     /* waits here until a target has room */
-	const char *no_retry_reason; /* why it was not sent again, for the log */
+	bool parked; /* waits here until a target has capacity */
+	const char *no_retry_reason; /* why there was no retry, for the log */
 	ev_timer timer;
 	struct htd_gone
 		disconnect_watch; /* the caller's connection, while suspended */
 	/* The answer */
 	struct MHD_Response *response;
 	unsigned int status;
-	struct gwy_attempt *stream; /* whose body is being passed on */
+	struct gwy_attempt *stream; /* whose body is being forwarded */
 	bool stream_ended;
 	bool stream_failed;
 };
@@ -110,8 +110,8 @@
 	uint64_t counter; /* of requests without an id */
 	size_t body_bytes;
 	size_t body_bytes_max;
-	uint32_t members_alive; /* members, this one included */
-	double domain_share;	/* of them, those of this failure domain */
+	uint32_t members_alive; /* live members, this one included */
+	double domain_share;	/* fraction of them in this failure domain */
 	bool stopping;
 	int64_t started_us;
 	int64_t stop_us; /* when the stop began */
@@ -121,7 +121,7 @@
 
 /* Callers (gwy_http.c) */
 
-/** Goes on with a held request if the node is ready, or refuses it. */
+/** Dispatches a deferred request if the node is ready, or refuses it. */
 void gwy_http_resume_deferred(struct gwy_request *req, int64_t now_us);
 extern const struct htd_ops gwy_http_ops;
 
@@ -133,51 +133,51 @@
 void gwy_request_resume(struct gwy_request *req);
 /** Sets the one timer of a request. */
 void gwy_request_timer(struct gwy_request *req, int64_t at_us, int64_t now_us);
-/** Stops all sends: no answer of theirs is wanted any more. */
+/** Cancels all attempts; their answers are not needed any more. */
 void gwy_request_cancel_attempts(struct gwy_request *req);
-/** Writes the one line of the log that tells how a request went. */
+/** Logs the outcome of a request, once. */
 void gwy_request_log(struct gwy_request *req, const char *outcome,
 		     int64_t now_us);
 
 /* Choosing a target (gwy_choose.c) */
 uint64_t gwy_random(struct gwy *gwy);
-/** Returns the time within which an answer is worth most. */
+/** Returns the latency objective of the route, or its default, in us. */
 int64_t gwy_choose_objective(const struct gwy_request *req);
-/** Chooses among the targets that were not tried yet. */
+/** Selects among the targets that were not attempted yet. */
 struct bal_choice gwy_choose(struct gwy_request *req, int64_t now_us);
-/** Returns whether a wait can't be met before the deadline. */
+/** Returns whether the wait exceeds the time left by more than the tolerance. */
 bool gwy_choose_wait_exceeds_deadline(const struct gwy_request *req,
 				      int64_t wait_us, int64_t now_us);
 
-/* Answers that do not come (gwy_overdue.c) */
-/** Returns after how long an answer is overdue, the wait for a slot apart. */
+/* Overdue answers and hedging (gwy_overdue.c) */
+/** Returns after how long an answer is overdue, without the wait for a slot. */
 int64_t gwy_overdue_us(const struct gwy_request *req);
-/** Returns the last moment at which a second send may still help. */
+/** Returns the latest time at which a hedge is likely answered in time. */
 int64_t gwy_overdue_hedge_latest_us(const struct gwy_request *req);
-/** Notes what is overdue now as evidence. */
+/** Reports newly overdue attempts as evidence. */
 void gwy_overdue_report(struct gwy_request *req, int64_t now_us);
-/** Returns whether a second send beside the first one is worth its cost. */
+/** Returns whether a hedge beside the first attempt is worth its cost. */
 bool gwy_overdue_should_hedge(struct gwy_request *req, int64_t now_us);
 
-/* Sending (gwy_send.c) */
-/** Sends a request once more, if the rule of retries allows it. */
+/* Attempts (gwy_send.c) */
+/** Retries a request or parks it, if the retry rule allows it. */
 bool gwy_send_retry(struct gwy_request *req, int64_t now_us);
-/** Sends a complete request for the first time. */
+/** Starts the first attempt for a complete request. */
 void gwy_send_first(struct gwy_request *req, int64_t now_us);
-/** Something is due: the deadline, or an answer that does not come. */
+/** Handles the deadline, overdue answers and parked requests. */
 void gwy_send_timer(struct gwy_request *req, int64_t now_us);
-/** Ends a try's hold on its target. */
+/** Frees the slot of an attempt at its target. */
 void gwy_send_release_slot(struct gwy_attempt *t);
 
 /* Answers (gwy_answer.c) */
-/** Passes on a target's whole answer. */
+/** Forwards a completely buffered answer of a target. */
 void gwy_answer_buffered(struct gwy_attempt *t, int64_t now_us);
-/** Answers for the fleet. @param retry_after_us 0: no advice */
+/** Answers with an error of the fleet. @param retry_after_us 0: no advice */
 void gwy_answer_refuse(struct gwy_request *req, int err, int64_t retry_after_us,
 		       int64_t now_us);
 /** Returns the mean size of the answers of a request's route, 0 if unknown. */
 int64_t gwy_answer_mean_bytes(const struct gwy_request *req);
-/** Begins to pass on an answer while it comes in. */
+/** Starts to forward an answer while it arrives. */
 void gwy_answer_stream(struct gwy_attempt *t, int64_t now_us);
 
 /* Planned stop (gwy_stop.c) */
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -1,18 +1,18 @@
 #include "gwy_impl.h"
 
-/* An answer is overdue at two and a half times the mean, where one request in
- * twenty of the deployments' work still runs, but not before half of the
- * route's objective. */
+/* An answer is overdue after 2.5 mean times, which one request in twenty of
+ * the deployments' work exceeds, but not before half of the route's
+ * objective. */
 #define OVERDUE_MEANS 2.5
 #define OVERDUE_OBJECTIVE_SHARE 0.5
-/* The last moment at which a second send is likely answered in time, in mean
- * times before the deadline: nine of ten requests take no longer. */
+/* A hedge starts at the latest this many mean times before the deadline: nine
+ * of ten requests take no longer. */
 #define HEDGE_MARGIN_MEANS 2.0
-/* It is taken only while this share of the budget is left. */
+/* Such a late hedge needs more than this share of the budget. */
 #define HEDGE_BUDGET_SHARE 0.3
 
-/* The first target is as likely to fail as one with a first overdue answer: a
- * second send may answer sooner. */
+/* Failure probability of a target after one overdue answer; from here on a
+ * hedge may answer sooner. */
 #define HEDGE_FAILURE_PROBABILITY 0.3
 
 int64_t gwy_overdue_us(const struct gwy_request *req)
@@ -48,7 +48,7 @@
 	}
 }
 
-/* Returns whether an answer that is overdue will likely not come in time. */
+/* Returns whether an overdue answer will probably miss the deadline. */
 static bool is_unlikely_in_time(struct gwy_request *req,
 				const struct gwy_attempt *t, int64_t now_us)
 {
--- a/src/gwy_request.c
+++ b/src/gwy_request.c
@@ -17,7 +17,7 @@
 		gwy_send_timer(req, now_us);
 }
 
-/* The caller is gone: work for it ends, and nothing more is sent. */
+/* The caller disconnected: attempts are cancelled and no retry follows. */
 static void on_caller_disconnected(void *arg)
 {
 	struct gwy_request *req = arg;
@@ -110,7 +110,7 @@
 
 		if (!t->tgt)
 			continue;
-		/* Closing the connection ends the work at the target. */
+		/* Closing the connection cancels the work at the target. */
 		if (tgt_free(t->tgt) && t->in_flight)
 			req->may_have_run = true;
 		t->tgt = NULL;
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -2,10 +2,10 @@
 
 #include "rty.h"
 
-/* Requests that are parked until a target has room look for one so often. */
+/* Interval at which a parked request looks for a target with capacity. */
 #define PARK_POLL_US (50 * FS_US_PER_MS)
 
-/* Callers come back spread over this time, so that they do not meet again. */
+/* Jitter of Retry-After, so that refused callers do not return at once. */
 #define RETRY_AFTER_JITTER_US (400 * FS_US_PER_MS)
 
 static struct adm_input admission_input(const struct gwy_request *req,
@@ -102,7 +102,6 @@
 	return t->tgt != NULL;
 }
 
-/* Starts a send to the target of a choice. */
 static void start_attempt(struct gwy_request *req,
 			  const struct bal_choice *choice, int64_t now_us)
 {
@@ -145,8 +144,8 @@
 	return adm_decide(&n) == ADM_SEND ? 0 : FS_E_WAIT_TOO_LONG;
 }
 
-/* Keeps a request here for a moment if no target has room. One that a target
- * works on is not kept: its own answer may come at any time. */
+/* Parks a request if no target has capacity. A request with an attempt in
+ * flight is not parked: that answer may arrive at any time. */
 static bool park(struct gwy_request *req, const struct bal_choice *choice,
 		 int err, int64_t now_us)
 {
@@ -175,10 +174,10 @@
 	return "no_target";
 }
 
-/* A node's own share is always its own. While the whole fleet has more left
- * than one repeat for each node, a node may take one more: if all do so before
- * they hear of each other, which takes less than two buckets of time, the sum
- * still stays within the budget. */
+/* A node may always use its own share. While the fleet has more left than one
+ * retry for each node, a node may use one more: if all do so before they
+ * receive each other's counts, which takes less than two buckets of time, the
+ * sum still stays within the budget. */
 static double budget_left(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
@@ -192,7 +191,6 @@
 	return MAX(own, pool / gwy->members_alive - recent);
 }
 
-/* Sends a request once more, if the rule of retries allows it. */
 bool gwy_send_retry(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
@@ -212,7 +210,7 @@
 	};
 	int err;
 
-	/* A send that reached nobody is not repeated by the next one. */
+	/* An attempt that reached no server costs no retry budget. */
 	if (!req->attempts_sent)
 		n.budget_milli = RTY_COST_MILLI;
 	err = cannot_send(req, &choice, now_us);
@@ -259,7 +257,7 @@
 	send_or_refuse(req, now_us);
 }
 
-/* What an ended send says of its target. */
+/* Classifies the outcome of an attempt as evidence on its target. */
 static enum gry_outcome outcome_of(const struct gwy_attempt *t)
 {
 	if (t->err == FS_E_CONNECT)
@@ -280,7 +278,7 @@
 	if (outcome == GRY_OVERDUE && t->overdue)
 		return;
 	t->overdue |= outcome == GRY_OVERDUE;
-	/* The wait for a slot says nothing of how fast the target works. */
+	/* The wait for a slot is not part of the service time of the target. */
 	lod_outcome(t->req->gwy->lod, t->target, outcome,
 		    MAX(t->took_us - t->wait_us, t->took_us / 4));
 }
@@ -294,7 +292,7 @@
 	       msg_headers_get(headers, t->req->gwy->fields.not_run);
 }
 
-/* The answer of the fleet when no send gave one that can be passed on. */
+/* Returns the error for the caller if no attempt gave an answer to forward. */
 static int final_err(const struct gwy_attempt *t)
 {
 	if (!t->req->may_have_run)
@@ -324,7 +322,7 @@
 		now_us);
 }
 
-/* A failure answer is passed on only if no better one can be had. */
+/* Other answers are forwarded only if no retry is possible. */
 static bool is_success(const struct gwy_attempt *t)
 {
 	return !t->err && !t->not_run && t->status < 500;
@@ -357,7 +355,7 @@
 	if (!streaming)
 		headers = tgt_peek_headers(tgt);
 	t->not_run = !streaming && is_not_run(t, end, headers);
-	/* Nothing was written: the server never saw this send. */
+	/* Nothing was written: the server has not seen this attempt. */
 	if (end->err && !end->written)
 		req->attempts_sent--;
 	else if (!t->not_run)
@@ -375,13 +373,13 @@
 		gwy_request_cancel_attempts(req);
 		return;
 	}
-	/* Another send is still under way, or follows now. */
+	/* Another attempt is in flight, or starts now. */
 	if (req->attempts_in_flight || gwy_send_retry(req, now_us))
 		return;
 	finish(t, now_us);
 }
 
-/* The body is long: pass it on while it comes in. */
+/* The body is too long to be buffered: it is forwarded as it arrives. */
 static void on_begun(void *arg, struct tgt *tgt)
 {
 	struct gwy_attempt *t = arg;
@@ -393,8 +391,8 @@
 	gwy_answer_stream(t, fs_now_us());
 }
 
-/* Ends the sends whose answer is not the one that is passed on. libcurl does
- * not let go of a transfer inside a callback, where streams begin. */
+/* Cancels the attempts whose answer is not forwarded. libcurl can't remove a
+ * transfer inside a callback, where streams start. */
 static void cancel_other_attempts(struct gwy_request *req)
 {
 	for (uint32_t i = 0; i < req->attempt_count; i++) {
@@ -454,7 +452,7 @@
 		0, now_us);
 }
 
-/* Room may have come free for a request that waits here. */
+/* Retries a parked request, as capacity may be free now. */
 static void retry_parked(struct gwy_request *req, int64_t now_us)
 {
 	if (!req->attempt_count) {
--- a/src/gwy_stop.c
+++ b/src/gwy_stop.c
@@ -3,13 +3,13 @@
 #include "fs_log.h"
 
 #define TICK_US (50 * FS_US_PER_MS)
-/* Callers keep an answer with this node's address for two seconds; until then
- * new connections are still taken. */
+/* Callers cache the address of this node for two seconds; until then new
+ * connections are accepted. */
 #define ACCEPT_US (2200 * FS_US_PER_MS)
-/* Connections without a request are then closed by the end of the process;
- * a request that crosses the close has not been read. */
+/* Idle connections are then closed by the end of the process; a request that
+ * crosses the close has not been read. */
 #define CLOSE_GRACE_US (300 * FS_US_PER_MS)
-/* Work still under way is cut only shortly before the process is killed. */
+/* Requests in flight are cut only shortly before the process is killed. */
 #define KILL_MARGIN_US (350 * FS_US_PER_MS)
 
 static bool is_drained(struct gwy *gwy, int64_t now_us)
