--- a/src/adm.c
+++ b/src/adm.c
@@ -1,13 +1,13 @@
 #include "adm.h"
 
-/* Of the time that is left until the objective when the work itself is taken
- * off, the queue may take this share: work differs, and so do counts that are a
- * few tenths of a second old. */
+/* Share of the time left until the objective, less the mean service time, that
+ * the wait may take: service times vary, and load counts are a few tenths of a
+ * second old. */
 #define QUEUE_SLACK_SHARE 0.75
-/* A request that no target has had is parked for this share of its objective; a
- * refusal that comes later has cost its caller time for nothing. */
+/* A request without an attempt is parked for this share of its objective; a
+ * later refusal costs its caller time for nothing. */
 #define PARK_OBJECTIVE_SHARE 0.3
-/* Parked requests are given up when less than this many mean times are left. */
+/* Parked requests are refused with less than this many mean times left. */
 #define PARK_TIME_LEFT_MEANS 1.5
 #define RETRY_AFTER_MIN_US (200 * FS_US_PER_MS)
 
--- a/src/adm.h
+++ b/src/adm.h
@@ -1,14 +1,13 @@
-/**
+/** 
  * @file adm.h
- * @brief Admission: may a request queue at a target now, is it parked here for a
- * moment, or is it refused? Pure.
+ * @brief Admission control: a request joins a target's queue, is parked here
+ * briefly, or is refused. Pure.
  *
- * While callers ask for more than the targets can do, a queue without a bound
- * makes every answer late: the queue stays as long as the load does, and all
- * who come later wait behind it. So a request joins a queue only if its answer
- * is still likely within the route's objective. Whoever can't is parked until a
- * slot is free, but not for long, and then refused while the caller has time to
- * come back.
+ * Under overload an unbounded queue makes every answer late: it stays as long
+ * as the load does, and all later requests wait behind it. So a request joins a
+ * queue only if its answer is still likely within the route's objective. Any
+ * other request is parked until a slot is free, but not for long, and is then
+ * refused while the caller has time to retry.
  */
 #ifndef ADM_H
 #define ADM_H
@@ -17,24 +16,24 @@
 
 enum adm_decision {
 	ADM_SEND,
-	ADM_PARK, /* look again in a moment */
+	ADM_PARK, /* decide again shortly */
 	ADM_REFUSE,
 };
 
-/** What is known of a request and of the best target for it. */
+/** State of a request and of the best target for it. */
 struct adm_input {
-	int64_t age_us;	      /* since it came */
+	int64_t age_us;	      /* since it arrived */
 	int64_t left_us;      /* until its deadline */
-	int64_t objective_us; /* of its route, from when it came */
-	int64_t mean_us;      /* mean time of the service's work */
+	int64_t objective_us; /* of its route, from its arrival */
+	int64_t mean_us;      /* mean service time */
 	int64_t wait_us;      /* for a slot at the best target */
-	bool has_capacity;    /* there is a target that is not full */
-	bool attempted;	      /* a target had it before, and it may go on */
+	bool has_capacity;    /* a target has free slots */
+	bool attempted;	      /* it had an attempt, and a retry is allowed */
 };
 
 enum adm_decision adm_decide(const struct adm_input *n);
 
-/** Returns when a refused caller should come back, apart from chance. */
+/** Returns the time until a refused caller should retry, without jitter, in us. */
 int64_t adm_retry_after(const struct adm_input *n);
 
 #endif
--- a/src/bud.c
+++ b/src/bud.c
@@ -2,13 +2,13 @@
 
 #include <string.h>
 
-/* A tenth is left unused: a node may count more nodes as lost than are. */
+/* A tenth stays unused: a node may count live nodes as dead. */
 #define BUDGET_SHARE 0.9
 
-/* A rate is that of so many full buckets and the one that is being filled. */
+/* A rate covers this many full buckets and the one being filled. */
 #define RATE_BUCKETS 4u
 
-/* Clears the buckets that have passed since the last call. */
+/* Clears buckets that expired since the last call. Returns the newest one. */
 static uint32_t advance(struct bud *bud, const struct bud_rule *rule,
 			int64_t now_us)
 {
--- a/src/key.c
+++ b/src/key.c
@@ -10,7 +10,7 @@
 	bool in_flight;
 	bool local;
 	int64_t taken_us;
-	GList link; /* by the time it was noted */
+	GList link; /* position in key_table.order */
 };
 
 struct key_table {
--- a/src/que.h
+++ b/src/que.h
@@ -1,10 +1,10 @@
-/**
+/** 
  * @file que.h
- * @brief Waiting requests of one shard, by priority, first come first served.
+ * @brief Queue of one shard's waiting requests: by priority, FIFO within each.
  *
- * Items are embedded in the objects that wait, so that nothing is allocated.
- * The bound on the number of waiting items is the caller's (slt.h): the queue
- * only counts. Pure apart from the object itself.
+ * Items are embedded in the waiting objects, so that nothing is allocated.
+ * The caller (slt.h) bounds the number of waiting items; the queue only
+ * counts. Pure apart from the object itself.
  */
 #ifndef QUE_H
 #define QUE_H
@@ -24,18 +24,18 @@
 	uint32_t count;
 };
 
-/** Returns whether an item may be taken now. */
+/** Returns whether an item may be selected now. */
 typedef bool (*que_match_fn)(void *arg, const struct que_item *item);
 
 /** Appends @p item behind all others of its priority. */
 void que_push(struct que *que, struct que_item *item,
 	      enum cfg_priority priority);
 
-/** Puts @p item before all others of its priority. */
+/** Inserts @p item before all others of its priority. */
 void que_push_front(struct que *que, struct que_item *item,
 		    enum cfg_priority priority);
 
-/** Takes @p item out; nothing happens if it does not wait. */
+/** Removes @p item; does nothing if it is not queued. */
 void que_remove(struct que *que, struct que_item *item);
 
 /**
@@ -45,14 +45,12 @@
 struct que_item *que_first(const struct que *que, que_match_fn match,
 			   void *arg);
 
-/**
- * Returns the item to give up for an arrival of @p priority: the youngest of
- * the lowest priority below it, or NULL if nothing lower waits.
- */
+/** Returns the item to evict for an arrival of @p priority: the youngest of the
+ * lowest priority below it, or NULL if there is none. */
 struct que_item *que_find_evictable(const struct que *que,
 				    enum cfg_priority priority);
 
-/** Returns how many items wait that run before an arrival of @p priority. */
+/** Returns how many items run before an arrival of @p priority. */
 uint32_t que_count_ahead(const struct que *que, enum cfg_priority priority);
 
 #endif
--- a/src/rte.h
+++ b/src/rte.h
@@ -11,7 +11,7 @@
 
 #include "cfg.h"
 
-/** Returns the bit of a method name, or 0 for a method no route can take. */
+/** Returns the bit of a method name, or 0 if no route can have it. */
 uint32_t rte_method(const char *method);
 
 /** Returns whether @p prefix matches @p path at a "/" boundary. */
--- a/src/rty.c
+++ b/src/rty.c
@@ -1,6 +1,6 @@
 #include "rty.h"
 
-#define RTY_GAP_MAX_US 60000000LL /* longer gaps fill the budget anyway */
+#define RTY_GAP_MAX_US 60000000LL /* longer gaps fill the budget in any case */
 
 void rty_budget_init(struct rty_budget *budget, int64_t now_us)
 {
--- a/src/rty.h
+++ b/src/rty.h
@@ -1,9 +1,9 @@
-/**
+/** 
  * @file rty.h
- * @brief Whether a failed request is tried again, and the budget for that.
+ * @brief The retry rule and the retry budget. Pure.
  *
- * Pure. A service's budget is a share of its requests plus a small rate, so
- * that a sick service is never sent a storm: over any time, retries are at
+ * A service's budget is a share of its requests plus a small rate, so that
+ * retries do not overload an unhealthy service: over any time, retries are at
  * most RTY_BURST_MAX_MILLI / 1000, plus RTY_RATE_MILLI / 1000 a second, plus
  * retry_percent of the requests.
  */
@@ -15,8 +15,8 @@
 #include "fs_types.h"
 
 #define RTY_COST_MILLI 1000	  /* one retry, in thousandths */
-#define RTY_BURST_MAX_MILLI 10000 /* kept at most for later */
-#define RTY_RATE_MILLI 1000	  /* added each second */
+#define RTY_BURST_MAX_MILLI 10000 /* most that is saved up */
+#define RTY_RATE_MILLI 1000	  /* added per second */
 
 /** A budget in thousandths of a retry. */
 struct rty_budget {
@@ -24,7 +24,7 @@
 	int64_t updated_us;
 };
 
-/** Fills a budget at its start. */
+/** Initialises a budget to its maximum. */
 void rty_budget_init(struct rty_budget *budget, int64_t now_us);
 
 /** Adds the share of one request. */
@@ -34,28 +34,26 @@
 /** Returns what is left in thousandths of a retry. */
 int64_t rty_budget_milli(struct rty_budget *budget, int64_t now_us);
 
-/** Takes one retry, which rty_allowed() has granted. */
+/** Spends one retry that rty_allowed() has granted. */
 void rty_budget_spend(struct rty_budget *budget);
 
-/** The numbers of a decision; they are the evidence of its record. */
+/** Inputs of a decision, which its audit record lists as evidence. */
 struct rty_input {
-	int64_t repeatable;   /* 1: the route may be repeated */
+	int64_t repeatable;   /* 1: the route is repeatable */
 	int64_t written;      /* 1: a byte may have reached a target */
-	int64_t begun;	      /* 1: part of an answer was passed on */
+	int64_t begun;	      /* 1: part of an answer was forwarded */
 	int64_t tries;	      /* so far */
 	int64_t tries_max;    /* at most */
 	int64_t budget_milli; /* of the service */
 	int64_t remaining_us; /* until the deadline */
-	int64_t usable;	      /* other servers that may take it */
+	int64_t usable;	      /* other servers that may serve it */
 };
 
-/**
- * The rule of retries. A request that is not repeatable is only tried again
- * while no byte of it can have reached a target.
- */
+/** The retry rule. A request that is not repeatable is retried only while no
+ * byte of it can have reached a target. */
 bool rty_allowed(const struct rty_input *n);
 
-/** Adds the numbers and the choice to a record of the rule. */
+/** Adds the inputs and the choice to an audit record of the rule. */
 void rty_add_input(struct aud_record *rec, const struct rty_input *n,
 		   bool allowed);
 
--- a/src/tgt.c
+++ b/src/tgt.c
@@ -12,7 +12,7 @@
 	return tgt->reused;
 }
 
-/* Tells the owner, once; the exchange may be freed by it. */
+/* Notifies the owner, once, which may free the exchange. */
 static void finish(struct tgt *tgt, int err)
 {
 	struct tgt_result e = {
@@ -30,7 +30,7 @@
 	tgt->ops->done(tgt->arg, tgt, &e);
 }
 
-/* Bytes behind the end of an answer show that it was longer than it said. */
+/* Bytes behind the end show that the answer exceeds its declared length. */
 static bool has_trailing_bytes(struct tgt *tgt)
 {
 	curl_socket_t fd = CURL_SOCKET_BAD;
@@ -103,7 +103,7 @@
 	return !tgt->connection_stale;
 }
 
-/* The last moment before the request is written. */
+/* libcurl calls this just before it writes the request. */
 static int on_before_write(void *arg, char *ip, char *local_ip, int port,
 			   int local_port)
 {
@@ -144,7 +144,7 @@
 	return bytes;
 }
 
-/* Counts every byte behind the header fields, also those libcurl drops. */
+/* Counts every byte behind the header fields, also those that libcurl discards. */
 static int on_debug(CURL *easy, curl_infotype type, char *data, size_t size,
 		    void *arg)
 {
--- a/src/tgt.h
+++ b/src/tgt.h
@@ -1,28 +1,28 @@
-/**
+/** 
  * @file tgt.h
- * @brief One exchange with a target: a request written once, its answer read.
+ * @brief One HTTP exchange with a target: a request written once, its answer.
  *
  * An exchange writes its request at most once, to one connection. libcurl
- * sends a request again by itself when a kept connection closes under it; two
- * guards prevent that, and each is enough alone: a request that may not be
- * repeated always opens its own connection, which no other request uses, and
+ * retries a request by itself when a reused connection closes under it. Two
+ * guards prevent that, each sufficient alone: a request that is not repeatable
+ * always opens its own connection, which no other request uses, and
  * CURLOPT_PREREQFUNCTION aborts the second writing of any request.
  *
- * A kept connection is used only if nothing has arrived on it since its last
- * answer; else the request goes by a new one.
+ * A pooled connection is reused only if nothing has arrived on it since its
+ * last answer; otherwise the request opens a new one.
  *
- * The answer is taken as whole only if its end can be told from a cut: by
+ * An answer is complete only if its end is distinguishable from a cut: by
  * Content-Length, by chunks, or because it has no body. A body that ends with
  * its connection, is short, or is longer than its Content-Length is an error,
  * and so is an answer that names another request in Fescuesaddle-Request.
- * Bytes that arrive behind the last chunk, or behind an answer to HEAD, are
- * dropped: the answer itself is whole.
+ * Bytes behind the last chunk, or behind an answer to HEAD, are discarded: the
+ * answer itself is complete.
  *
  * With a dialect (see struct tgt_dialect) some of this differs.
  *
  * Limits: an answer's header fields as in TGT_HEADERS_MAX and
  * TGT_HEADER_BYTES_MAX. A body is buffered up to FS_ANSWER_WHOLE_MAX; a longer
- * one is streamed, with at most FS_ANSWER_WINDOW bytes waiting here.
+ * one is streamed, with at most FS_ANSWER_WINDOW bytes buffered here.
  */
 #ifndef TGT_H
 #define TGT_H
@@ -33,7 +33,7 @@
 #define TGT_HEADERS_MAX 128		 /* header fields of an answer */
 #define TGT_HEADER_BYTES_MAX (64 * 1024) /* bytes of all of them */
 #define TGT_CONNECT_MAX_US 1000000LL	 /* longest time to connect */
-#define TGT_POOL_CONNECTIONS 512	 /* kept idle at most */
+#define TGT_POOL_CONNECTIONS 512	 /* idle connections at most */
 
 struct tgt;
 
@@ -48,53 +48,49 @@
 	int64_t took_us;       /* until the header fields, or until the end */
 };
 
-/** What the owner of an exchange is told; never from inside tgt_start(). */
+/** Callbacks to the owner of an exchange; never called inside tgt_start(). */
 struct tgt_ops {
-	/** The body is too long to be buffered: its first part is here. */
+	/** The body is too long to be buffered: its first part can be read. */
 	void (*begun)(void *arg, struct tgt *tgt);
-	/** After begun(): there are bytes to take. */
+	/** After begun(): more bytes can be read. */
 	void (*more)(void *arg, struct tgt *tgt);
-	/** The header fields did not come in time. @return whether to give
-	 *  the exchange up; else it goes on until its deadline */
+	/** The header fields did not arrive in time. @return whether to abort
+	 *  the exchange; otherwise it continues until its deadline */
 	bool (*headers_overdue)(void *arg, struct tgt *tgt);
-	/** The end, told once; not after tgt_free(). */
+	/** The end, called once; not after tgt_free(). */
 	void (*done)(void *arg, struct tgt *tgt, const struct tgt_result *end);
 };
 
-/**
- * How targets of a platform differ from those of the fleet's own interface.
- * They name an answer by the caller's request id and prove a success, may end a body with its
- * connection, and may send bytes behind an answer that is whole; a connection
- * with such bytes is not used again.
- */
+/** Differences of a platform's targets from the fleet's own interface.
+ * They identify an answer by the caller's request id and mark a success with a
+ * proof field, may end a body with its connection, and may send bytes behind a
+ * complete answer; a connection with such bytes is not reused. */
 struct tgt_dialect {
 	const char *request_id;	 /* header field, echoed by the target */
 	const char *deadline_ms; /* header field: what is left, in ms */
 	const char *proof;	 /* header field that only a target's own
-				  * success bears */
-	long idle_s;		 /* kept connections are used for so long */
+				  * success has */
+	long idle_s;		 /* idle time-out of pooled connections */
 	int64_t connect_us;	 /* longest time to connect */
 };
 
-/** What an exchange is started with; all of it is copied or referenced. */
+/** Parameters of an exchange; all of them are copied or referenced. */
 struct tgt_request {
 	const char *address;	     /* "ip:port" of the target */
 	const struct msg_request *m; /* method, header fields, body */
 	const char *id;		     /* the request id as text */
 	bool repeatable;	     /* pooled connections may be used */
-	bool new_connection;	     /* use no pooled connection all the same */
-	int64_t deadline_us;	     /* when the whole answer must be here */
+	bool new_connection; /* open a new connection even if repeatable */
+	int64_t deadline_us; /* when the complete answer must be here */
 	int64_t headers_deadline_us; /* when its header fields must be here */
 	const struct tgt_dialect *dialect; /* NULL: the fleet's own fields */
 };
 
-/** Returns whether a request can be written as it is: no control bytes. */
+/** Returns whether a request can be written unchanged: no control bytes. */
 bool tgt_request_valid(const struct msg_request *m);
 
-/**
- * Starts an exchange.
- * @return NULL if libcurl has no room; nothing was written then
- */
+/** Starts an exchange.
+ * @return NULL if libcurl can't add the transfer; nothing was written then */
 struct tgt *tgt_start(struct tgt_pool *pool, const struct tgt_request *request,
 		      const struct tgt_ops *ops, void *arg, int64_t now_us);
 
@@ -108,7 +104,7 @@
 /** Returns whether a byte of the request may have reached the target. */
 bool tgt_written(const struct tgt *tgt);
 
-/** Returns whether it runs on a connection that was kept from before. */
+/** Returns whether the connection came from the pool. */
 bool tgt_reused(const struct tgt *tgt);
 
 /** Returns the status of the answer. */
@@ -117,23 +113,23 @@
 /** Returns the header fields with a new reference; they stay the answer's. */
 GArray *tgt_peek_headers(struct tgt *tgt);
 
-/** Takes the header fields, hop-by-hop ones removed. */
+/** Returns the header fields without hop-by-hop ones and clears them. */
 GArray *tgt_steal_headers(struct tgt *tgt);
 
 /** Returns whether the answer says that the target is leaving. */
 bool tgt_draining(const struct tgt *tgt);
 
-/** Returns the length of the whole body, or -1 if it was not told; of an answer
- *  to HEAD, that of the body which is not sent. */
+/** Returns the length of the complete body, or -1 if unknown; of an answer to
+ *  HEAD, that of the body which is not sent. */
 int64_t tgt_length(const struct tgt *tgt);
 
-/** Takes up to @p max bytes of the body. */
+/** Reads and removes up to @p max bytes of the buffered body. */
 GBytes *tgt_read_body(struct tgt *tgt, size_t max);
 
-/** Returns how many bytes can be taken. */
+/** Returns the number of buffered bytes. */
 size_t tgt_buffered_bytes(const struct tgt *tgt);
 
-/** Reads on after bytes were taken; not from inside the functions of ops. */
+/** Resumes receiving after bytes were read; not inside the callbacks of ops. */
 void tgt_resume(struct tgt *tgt);
 
 #endif
--- a/src/tgt_answer.c
+++ b/src/tgt_answer.c
@@ -9,7 +9,7 @@
 	return !tgt->no_body && tgt->status != 204 && tgt->status != 304;
 }
 
-/* Digits only: a list, a sign or two different lengths are refused. */
+/* Digits only: a list, a sign or two different lengths are invalid. */
 static void read_length(struct tgt *tgt, const char *value)
 {
 	char *end;
@@ -23,7 +23,7 @@
 	tgt->length = length;
 }
 
-/* An answer to another request may arrive where this one's is expected. */
+/* Rejects an answer to another request, which may arrive on this connection. */
 static void read_request_id(struct tgt *tgt, const char *value)
 {
 	tgt->request_id_matched = !strcmp(value, tgt->id);
@@ -54,7 +54,7 @@
 		msg_headers_add(tgt->headers, name, value);
 }
 
-/* An informational answer may come before the final one. */
+/* An informational answer may precede the final one. */
 static void begin_answer(struct tgt *tgt, const char *line)
 {
 	const char *space = strchr(line, ' ');
@@ -77,8 +77,8 @@
 	if (tgt_has_body(tgt) && !tgt->chunked && tgt->length < 0 &&
 	    !tgt->dialect)
 		tgt->invalid = true;
-	/* A success that does not name its request, or bears no proof, may be
-	 * anybody's. */
+	/* A success that does not name its request, or has no proof, may come
+	 * from another server or belong to another request. */
 	if (tgt->dialect && tgt->status < 300 &&
 	    (!tgt->request_id_matched ||
 	     !msg_headers_get(tgt->headers, tgt->dialect->proof)))
--- a/src/tgt_impl.h
+++ b/src/tgt_impl.h
@@ -10,13 +10,13 @@
 struct tgt {
 	struct tgt_pool *pool;
 	struct crl *crl;  /* of the pool */
-	curl_socket_t fd; /* opened last */
+	curl_socket_t fd; /* the socket opened last */
 	CURL *easy;
 	struct curl_slist *fields;
 	GBytes *body;
 	char *id;
 	const struct tgt_dialect *dialect; /* or NULL */
-	bool request_id_matched;	   /* the answer names the request */
+	bool request_id_matched;	   /* the answer names this request */
 	const struct tgt_ops *ops;
 	void *arg;
 	int64_t started_us;
@@ -26,9 +26,9 @@
 	bool no_body; /* the method was HEAD */
 
 	bool written; /* a byte of the request may have reached the target */
-	bool reused;  /* by a connection that was kept */
-	bool past_deadline; /* not written, since the deadline had passed */
-	bool connection_stale; /* not written, since a kept connection was not quiet */
+	bool reused;  /* the connection came from the pool */
+	bool past_deadline; /* not written: the deadline had passed */
+	bool connection_stale; /* not written: the pooled connection was not idle */
 	bool ended;
 	bool begun;
 	bool paused;
@@ -39,11 +39,11 @@
 	bool chunked;
 	bool draining;
 	uint32_t status;
-	int64_t length; /* -1: not told */
+	int64_t length; /* -1: unknown */
 	int64_t headers_at_us;
 	size_t header_bytes;
 	GArray *headers;
-	GByteArray *buffer;   /* body not taken yet */
+	GByteArray *buffer;   /* body not read yet */
 	int64_t received;     /* bytes of the body */
 	int64_t raw_received; /* bytes read after the header fields */
 };
@@ -52,7 +52,7 @@
 void tgt_write_request(struct tgt *tgt, const struct tgt_request *request,
 		       int64_t now_us);
 
-/** Takes one line of the answer's header; CURLOPT_HEADERFUNCTION. */
+/** Parses one line of the answer's header; CURLOPT_HEADERFUNCTION. */
 size_t tgt_read_header(char *data, size_t size, size_t n, void *arg);
 
 /** Returns whether the answer has a body by its method and status. */
--- a/src/tgt_pool.c
+++ b/src/tgt_pool.c
@@ -6,7 +6,7 @@
 
 struct tgt_pool {
 	struct crl *crl;
-	GHashTable *fds;  /* both ends as text to socket */
+	GHashTable *fds;  /* endpoints as text to socket */
 	GHashTable *ends; /* socket to the key in fds */
 };
 
--- a/src/tgt_pool.h
+++ b/src/tgt_pool.h
@@ -1,12 +1,12 @@
-/**
+/** 
  * @file tgt_pool.h
- * @brief The connections to targets, and which socket each of them has.
+ * @brief Connection pool for targets, with the socket of each connection.
  *
- * libcurl keeps idle connections and takes one again without a look at what
- * arrived on it meanwhile: bytes behind the last answer would be read as the
- * next one. It also does not tell the socket of a kept connection. The pool
- * remembers the socket of each connection by its two ends, so that an exchange
- * can look before it writes.
+ * libcurl reuses an idle connection without checking for bytes that arrived
+ * meanwhile: bytes behind the last answer would be read as the next one. It
+ * also does not expose the socket of a reused connection. The pool maps the
+ * endpoints of each connection to its socket, so that an exchange can check
+ * it before it writes.
  */
 #ifndef TGT_POOL_H
 #define TGT_POOL_H
@@ -15,7 +15,7 @@
 
 struct tgt_pool;
 
-/** The two ends of a connection, as CURLOPT_PREREQFUNCTION tells them. */
+/** The endpoints of a connection, as CURLOPT_PREREQFUNCTION reports them. */
 struct tgt_endpoints {
 	const char *ip;
 	const char *local_ip;
@@ -23,22 +23,22 @@
 	int local_port;
 };
 
-/** Makes a pool. @param connections  kept idle at most */
+/** Creates a pool. @param connections  idle ones at most */
 struct tgt_pool *tgt_pool_new(struct ev_loop *loop, long connections);
 void tgt_pool_free(struct tgt_pool *pool);
 
 /** Returns the object that runs the pool's transfers. */
 struct crl *tgt_pool_crl(const struct tgt_pool *pool);
 
-/** Makes an easy handle open and close its sockets by the pool.
+/** Makes the pool open and close the sockets of an easy handle.
  *  @param fd  out: set when a socket is opened; lives as long as the handle */
 void tgt_pool_attach(struct tgt_pool *pool, CURL *easy, curl_socket_t *fd);
 
-/** Remembers the socket of a new connection. */
+/** Records the socket of a new connection. */
 void tgt_pool_register(struct tgt_pool *pool, const struct tgt_endpoints *ends,
 		       curl_socket_t fd);
 
-/** Returns whether a kept connection is open and has nothing to be read. */
+/** Returns whether a pooled connection is open and has nothing to be read. */
 bool tgt_pool_is_idle(const struct tgt_pool *pool,
 		      const struct tgt_endpoints *ends);
 
--- a/src/tgt_request.c
+++ b/src/tgt_request.c
@@ -3,7 +3,7 @@
 
 #include "tgt_impl.h"
 
-/* Fields that belong to one connection, or that only the fleet may set. */
+/* Hop-by-hop fields, and fields that only the fleet may set. */
 static const char *const reserved_fields[] = {
 	"Connection",
 	"Keep-Alive",
@@ -84,7 +84,7 @@
 	tgt->fields = curl_slist_append(tgt->fields, line);
 }
 
-/* A name with a colon and no value takes libcurl's own field out. */
+/* A name with a colon and no value suppresses libcurl's own field. */
 static void suppress_field(struct tgt *tgt, const char *line)
 {
 	tgt->fields = curl_slist_append(tgt->fields, line);
