--- a/src/adm.h
+++ b/src/adm.h
@@ -1,4 +1,4 @@
-/** 
+/**
  * @file adm.h
  * @brief Admission control: a request joins a target's queue, is parked here
  * briefly, or is refused. Pure.
--- a/src/bud.h
+++ b/src/bud.h
@@ -1,4 +1,4 @@
-/** 
+/**
  * @file bud.h
  * @brief A node's share of the fleet's retry budget. Pure.
  *
--- a/src/gwy.h
+++ b/src/gwy.h
@@ -1,4 +1,4 @@
-/** 
+/**
  * @file gwy.h
  * @brief Gateway task: accepts callers' requests and proxies each to a target.
  *
--- a/src/key.h
+++ b/src/key.h
@@ -1,4 +1,4 @@
-/** 
+/**
  * @file key.h
  * @brief Idempotency keys that a dispatcher has admitted, per service.
  *
--- a/src/que.h
+++ b/src/que.h
@@ -1,4 +1,4 @@
-/** 
+/**
  * @file que.h
  * @brief Queue of one shard's waiting requests: by priority, FIFO within each.
  *
@@ -45,8 +45,10 @@
 struct que_item *que_first(const struct que *que, que_match_fn match,
 			   void *arg);
 
-/** Returns the item to evict for an arrival of @p priority: the youngest of the
- * lowest priority below it, or NULL if there is none. */
+/**
+ * Returns the item to evict for an arrival of @p priority: the youngest of the
+ * lowest priority below it, or NULL if there is none.
+ */
 struct que_item *que_find_evictable(const struct que *que,
 				    enum cfg_priority priority);
 
--- a/src/rty.h
+++ b/src/rty.h
@@ -1,4 +1,4 @@
-/** 
+/**
  * @file rty.h
  * @brief The retry rule and the retry budget. Pure.
  *
@@ -49,8 +49,10 @@
 	int64_t usable;	      /* other servers that may serve it */
 };
 
-/** The retry rule. A request that is not repeatable is retried only while no
- * byte of it can have reached a target. */
+/**
+ * The retry rule. A request that is not repeatable is retried only while no
+ * byte of it can have reached a target.
+ */
 bool rty_allowed(const struct rty_input *n);
 
 /** Adds the inputs and the choice to an audit record of the rule. */
--- a/src/tgt.h
+++ b/src/tgt.h
@@ -1,4 +1,4 @@
-/** 
+/**
  * @file tgt.h
  * @brief One HTTP exchange with a target: a request written once, its answer.
  *
@@ -61,10 +61,12 @@
 	void (*done)(void *arg, struct tgt *tgt, const struct tgt_result *end);
 };
 
-/** Differences of a platform's targets from the fleet's own interface.
+/**
+ * Differences of a platform's targets from the fleet's own interface.
  * They identify an answer by the caller's request id and mark a success with a
  * proof field, may end a body with its connection, and may send bytes behind a
- * complete answer; a connection with such bytes is not reused. */
+ * complete answer; a connection with such bytes is not reused.
+ */
 struct tgt_dialect {
 	const char *request_id;	 /* header field, echoed by the target */
 	const char *deadline_ms; /* header field: what is left, in ms */
--- a/src/tgt_pool.h
+++ b/src/tgt_pool.h
@@ -1,4 +1,4 @@
-/** 
+/**
  * @file tgt_pool.h
  * @brief Connection pool for targets, with the socket of each connection.
  *
--- a/tests/prop_key.cpp
+++ b/tests/prop_key.cpp
@@ -1,7 +1,6 @@
-/*
- * Idempotency keys against a plain model: no key runs while an earlier request
- * with it runs, ran or may have run within the window; the table is bounded
- * and forgets nothing early.
+/* Idempotency keys against a reference model: no key runs while an earlier
+ * request with it runs, ran or may have run within the window; the table is
+ * bounded and evicts nothing early.
  */
 #include <rapidcheck.h>
 
--- a/tests/prop_rty.cpp
+++ b/tests/prop_rty.cpp
@@ -1,6 +1,5 @@
-/*
- * Retries over arbitrary histories: the budget bounds them, and a request that
- * may not be repeated is never tried again once it was written.
+/* Retries over arbitrary histories: the budget bounds them, and a request that
+ * is not repeatable is never retried after it was written.
  */
 #include <rapidcheck.h>
 
@@ -53,7 +52,7 @@
 	});
 }
 
-/* A case in which all hold is allowed; without any one of them it is not. */
+/* A retry is allowed if all conditions hold, and refused without any of them. */
 bool check_rule()
 {
 	return rc::check("each condition of a retry is needed", [] {
--- a/tests/unit_adm.c
+++ b/tests/unit_adm.c
@@ -6,8 +6,7 @@
 
 #define MS FS_US_PER_MS
 
-/* A request that has just come, for work of 300 ms that is worth most within
- * 1.2 s. */
+/* A new request with 300 ms of service time and an objective of 1.2 s. */
 static struct adm_input new_request(int64_t wait_us)
 {
 	return (struct adm_input){
@@ -29,8 +28,8 @@
 	g_assert_cmpint(adm_decide(&n), ==, ADM_SEND);
 }
 
-/* Load above capacity for long: whoever could only be answered late does not
- * make those behind it late as well. */
+/* Sustained overload: a request that would be answered late does not delay
+ * those behind it. */
 static void test_queue_does_not_outgrow_the_objective(void)
 {
 	struct adm_input n = new_request(1000 * MS);
@@ -41,7 +40,7 @@
 	g_assert_cmpint(adm_decide(&n), ==, ADM_REFUSE);
 }
 
-/* A short burst: a parked request goes as soon as a slot is free. */
+/* A short burst: a parked request starts as soon as a slot is free. */
 static void test_parked_request_uses_free_slot(void)
 {
 	struct adm_input n = new_request(0);
@@ -51,7 +50,7 @@
 	g_assert_cmpint(adm_decide(&n), ==, ADM_SEND);
 }
 
-/* All queues are full: a caller is not kept until its time is over. */
+/* All queues are full: a caller is refused well before its deadline. */
 static void test_full_targets_refuse_in_time(void)
 {
 	struct adm_input n = new_request(0);
@@ -62,8 +61,8 @@
 	g_assert_cmpint(adm_decide(&n), ==, ADM_REFUSE);
 }
 
-/* A request that a target has turned away waits for another one as long as its
- * work can be done. */
+/* A request that a target has rejected stays parked while enough time is left
+ * for its service time. */
 static void test_rejected_request_parks_longer(void)
 {
 	struct adm_input n = new_request(1000 * MS);
@@ -76,7 +75,7 @@
 	g_assert_cmpint(adm_decide(&n), ==, ADM_REFUSE);
 }
 
-/* The longer the queue, the later callers come back. */
+/* The longer the queue, the later callers retry. */
 static void test_retry_after_follows_the_queue(void)
 {
 	struct adm_input n = new_request(600 * MS);
--- a/tests/unit_gwy.c
+++ b/tests/unit_gwy.c
@@ -1,5 +1,4 @@
-/* The gateway task: whose answer a caller gets, what is sent again, and when
- * a request is given up. */
+/* The gateway task: forwarded answers, retries, deadlines and cancellation. */
 #include <string.h>
 #include <sys/socket.h>
 
@@ -10,7 +9,7 @@
 #define FIELDS "Host: h\r\nX-Id: r1\r\nX-Left: 3000\r\n"
 #define PAY_REQUEST \
 	"POST /pay/1 HTTP/1.1\r\n" FIELDS "Content-Length: 3\r\n\r\na=1"
-#define LONG_BODY (300 * 1024) /* bytes; streamed, not held */
+#define LONG_BODY (300 * 1024) /* bytes; streamed, not buffered */
 #define LIST_REQUEST "GET /list/1?q=1 HTTP/1.1\r\n" FIELDS "\r\n"
 
 static struct yard y;
@@ -98,7 +97,7 @@
 			     "Content-Length: 1\r\n\r\nx");
 }
 
-/* A success that names the request, without the target's proof. */
+/* A success that names the request, without the target's seal. */
 static void serve_without_seal(void *arg, struct fake_conn *conn,
 			       const struct fake_request *request)
 {
@@ -132,7 +131,7 @@
 	end();
 }
 
-/* A request that waits costs nothing: the loop sleeps until the answer. */
+/* A waiting request uses no CPU: the loop sleeps until the answer. */
 static void test_waiting_does_not_spin(void)
 {
 	unsigned int before;
@@ -187,8 +186,8 @@
 	end();
 }
 
-/* After a reset an unsafe request may have run: no second send, and no answer
- * that promises that it has not run. */
+/* After a reset an unsafe request may have run: no retry, and no answer that
+ * states that it has not run. */
 static void test_reset_may_have_run(void)
 {
 	begin();
@@ -229,7 +228,6 @@
 	end();
 }
 
-/* The answer comes when the route's time is over, not later. */
 static void test_success_without_seal_is_rejected(void)
 {
 	begin();
@@ -254,7 +252,7 @@
 	end();
 }
 
-/* A caller that leaves takes its work with it: the connection to the target
+/* A caller that disconnects cancels its request: the connection to the target
  * is closed well within half a second. */
 static void test_disconnect_cancels_attempts(void)
 {
@@ -273,7 +271,7 @@
 }
 
 /* Hangs on the first request of all targets together, then sends a body that
- * is too long to be held. */
+ * is too long to be buffered. */
 static void serve_long_second(void *arg, struct fake_conn *conn,
 			      const struct fake_request *request)
 {
@@ -286,8 +284,8 @@
 	yard_ok(conn, request, body);
 }
 
-/* A second send beside one that hangs: the first is ended when the answer of
- * the second begins to stream. */
+/* A hedge beside an attempt that hangs: the first is cancelled when the answer
+ * of the second starts to stream. */
 static void test_stream_cancels_other_attempts(void)
 {
 	int served = 0;
@@ -304,8 +302,8 @@
 	end();
 }
 
-/* A second send beside one that runs finds no room: the request is not parked, so
- * that the answer which is under way stays the only one. */
+/* A hedge beside an attempt in flight finds no capacity: the request is not
+ * parked, so that the pending answer stays the only one. */
 static void test_no_parking_with_attempt_in_flight(void)
 {
 	struct dir_target *full;
@@ -341,7 +339,7 @@
 	end();
 }
 
-/* A node that knows no configuration can't tell a missing route. */
+/* A node without a configuration can't report a missing route. */
 static void test_not_ready_refuses(void)
 {
 	begin();
@@ -367,7 +365,7 @@
 	end();
 }
 
-/* A planned stop finishes what is under way and ends. */
+/* A planned stop completes requests in flight and ends. */
 static void test_stop_finishes_the_request(void)
 {
 	begin();
@@ -406,7 +404,7 @@
 	}
 }
 
-/* Header fields without end: given up at the limit, long before the deadline. */
+/* Endless header fields are rejected at the limit, long before the deadline. */
 static void test_endless_headers_are_rejected(void)
 {
 	struct fake *target;
@@ -454,8 +452,8 @@
 	return g_strdup_printf("4000\r\n%s\r\n", filler);
 }
 
-/* A body without end, in chunks: it ends with the route's time, and the caller
- * sees that it is cut. */
+/* An endless chunked body ends at the route's deadline, and the caller can see
+ * that it was cut. */
 static void test_endless_body_ends_in_time(void)
 {
 	g_autofree char *piece = body_piece();
@@ -471,7 +469,8 @@
 	end();
 }
 
-/* The same, and the caller leaves: the target's connection is closed at once. */
+/* An endless body: the caller disconnects, which closes the connection to the
+ * target immediately. */
 static void test_endless_body_ends_with_its_caller(void)
 {
 	g_autofree char *piece = body_piece();
--- a/tests/unit_tgt.c
+++ b/tests/unit_tgt.c
@@ -1,4 +1,4 @@
-/* One exchange with a target: written once, answered whole or not at all. */
+/* One exchange with a target: written once, and only complete answers. */
 #include <string.h>
 
 #include "fleet_fake.h"
@@ -189,8 +189,7 @@
 	p->done = true;
 }
 
-/* The fault is real: libcurl alone sends the second POST twice and says that
- * all went well. */
+/* libcurl alone sends the second POST twice and reports success. */
 static void test_libcurl_repeats_by_itself(void)
 {
 	struct probe p;
@@ -236,7 +235,7 @@
 	probe_end(&p);
 }
 
-/** One answer of a target, and what it is worth. */
+/** One answer of a target, and the expected result. */
 struct answer_case {
 	const char *name;
 	const char *method;
@@ -322,7 +321,7 @@
 	probe_end(&p);
 }
 
-/* Bytes behind an answer that come late must not be the next one's. */
+/* Late bytes behind an answer must not be read as the next answer. */
 static void serve_late_trailing_bytes(void *arg, struct fake_conn *conn,
 				      const struct fake_request *request)
 {
