--- a/src/dsp_audit.c
+++ b/src/dsp_audit.c
@@ -38,7 +38,7 @@
 }
 
 static void add_numbers(struct aud_record *rec, const struct dsp_run *run,
-			const struct slt_numbers *n)
+			const struct slt_inputs *n)
 {
 	switch (rec->rule) {
 	case AUD_R_QUEUE_FULL:
@@ -102,9 +102,9 @@
 }
 
 void dsp_audit_refusal(const struct dsp_run *run, int err,
-		       const struct slt_numbers *n, int64_t now_us)
+		       const struct slt_inputs *n, int64_t now_us)
 {
-	struct slt_numbers none = {
+	struct slt_inputs none = {
 		.remaining_us = run->deadline_us - now_us,
 	};
 	struct aud_record rec;
--- a/src/dsp_exchange.c
+++ b/src/dsp_exchange.c
@@ -23,7 +23,7 @@
 	case 0:
 		if (is_not_run(run, status))
 			return HLT_REFUSED;
-		return status >= 500 ? HLT_SERVER_ERROR : HLT_GOOD;
+		return status >= 500 ? HLT_SERVER_ERROR : HLT_SUCCESS;
 	case FS_E_CONNECT:
 		return HLT_CONNECT_FAILED;
 	case FS_E_DEADLINE:
@@ -34,7 +34,7 @@
 	case FS_E_TARGET_RESET:
 		return HLT_RESET;
 	default:
-		return HLT_BAD_ANSWER;
+		return HLT_INVALID_ANSWER;
 	}
 }
 
@@ -53,7 +53,8 @@
 		return;
 	slt_times_add(&run->shard->hold, now_us - run->started_us);
 	if (i != FS_NONE)
-		hlt_finished(run->shard->hlt, i, run->token, end, now_us);
+		hlt_request_finished(run->shard->hlt, i, run->token, end,
+				     now_us);
 }
 
 void dsp_exchange_stop(struct dsp_run *run, int64_t now_us)
@@ -264,8 +265,8 @@
 	run->tried[run->tries++] = server;
 	run->running = true;
 	run->started_us = now_us;
-	run->token =
-		hlt_started(shard->hlt, i, run->deadline_us - now_us, now_us);
+	run->token = hlt_request_started(shard->hlt, i,
+					 run->deadline_us - now_us, now_us);
 	request.headers_deadline_us = head_limit(run, now_us);
 	run->tgt =
 		tgt_start(run->dsp->pool, &request, &exchange_ops, run, now_us);
--- a/src/fed.c
+++ b/src/fed.c
@@ -208,7 +208,7 @@
 	fed->heard_us = fed->local_us = fed->listed_us =
 		now_us - 2 * FED_DEAF_US;
 	fed_read_init(fed);
-	dir_on_gone(dir, fed_tell_gone, fed);
+	dir_on_removed(dir, fed_tell_gone, fed);
 	bus_attach(node->bus, MSG_TASK_CONFIG, &ops, fed);
 	node_add_status(node, "feed", write_status, fed);
 	node_add_tick(node, on_tick, fed);
@@ -222,7 +222,7 @@
 	if (!fed)
 		return;
 	kvs = &fed->platform.kvs;
-	dir_on_gone(fed->dir, NULL, NULL);
+	dir_on_removed(fed->dir, NULL, NULL);
 	kvs->ops->forget(kvs->store, &fed->targets);
 	kvs->ops->forget(kvs->store, &fed->config);
 	kvs->ops->forget(kvs->store, fed);
--- a/src/fed_tell.c
+++ b/src/fed_tell.c
@@ -186,6 +186,6 @@
 	if (fed->targets.listed)
 		whole.m->feed_entries.whole_rev = fed->targets.from_rev;
 	dir_each(fed->dir, add_target, &whole);
-	dir_each_removed(fed->dir, add_removed, &whole);
+	dir_each_tombstone(fed->dir, add_removed, &whole);
 	bus_send(fed->node->bus, whole.m);
 }
--- a/src/gwy_choose.c
+++ b/src/gwy_choose.c
@@ -56,9 +56,9 @@
 	const struct dir_service *targets = dir_find(gwy->dir, service);
 	int64_t objective_us = gwy_choose_objective(req);
 	struct bal_choice choice;
-	struct bal_wish wish = {
+	struct bal_query wish = {
 		.domain = gwy->node->set.domain,
-		.mean_us = lod_mean(gwy->lod, service),
+		.mean_us = lod_mean_latency(gwy->lod, service),
 		.failure_us = objective_us * (gwy_route_of(req)->repeatable ?
 						      FAILURE_COST_REPEATABLE :
 						      FAILURE_COST_UNSAFE),
@@ -67,7 +67,7 @@
 		.repeatable = gwy_route_of(req)->repeatable,
 		.avoid = avoid,
 		.avoid_count = attempted_targets(req, avoid),
-		.rate = lod_rate(gwy->lod, service, now_us),
+		.rate = lod_request_rate(gwy->lod, service, now_us),
 		.domain_share = gwy->domain_share,
 		.now_us = now_us,
 		.random = gwy_random(gwy),
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -17,7 +17,8 @@
 
 int64_t gwy_overdue_us(const struct gwy_request *req)
 {
-	int64_t mean_us = lod_mean(req->gwy->lod, gwy_service_name(req));
+	int64_t mean_us =
+		lod_mean_latency(req->gwy->lod, gwy_service_name(req));
 
 	return (int64_t)MAX((double)mean_us * OVERDUE_MEANS,
 			    (double)gwy_choose_objective(req) *
@@ -26,7 +27,8 @@
 
 int64_t gwy_overdue_hedge_latest_us(const struct gwy_request *req)
 {
-	int64_t mean_us = lod_mean(req->gwy->lod, gwy_service_name(req));
+	int64_t mean_us =
+		lod_mean_latency(req->gwy->lod, gwy_service_name(req));
 
 	return MAX(req->deadline_us -
 			   (int64_t)(HEDGE_MARGIN_MEANS * (double)mean_us),
@@ -44,7 +46,7 @@
 		    now_us - t->started_us < t->wait_us + late_us)
 			continue;
 		t->overdue = true;
-		lod_outcome(req->gwy->lod, t->target, GRY_OVERDUE, 0);
+		lod_record_outcome(req->gwy->lod, t->target, GRY_OVERDUE, 0);
 	}
 }
 
@@ -54,12 +56,13 @@
 {
 	const struct bud_rule *rule = &req->gwy->budget_rule;
 
-	if (t->target->gone || gry_failure(&bal_of(t->target, now_us)->gry,
-					   now_us) >= HEDGE_FAILURE_PROBABILITY)
+	if (t->target->gone ||
+	    gry_failure_probability(&bal_target_get(t->target, now_us)->gry,
+				    now_us) >= HEDGE_FAILURE_PROBABILITY)
 		return true;
 	return now_us >= gwy_overdue_hedge_latest_us(req) &&
-	       lod_budget_left(req->gwy->lod, gwy_service_name(req), rule,
-			       now_us) > rule->slack * HEDGE_BUDGET_SHARE;
+	       lod_retry_budget_left(req->gwy->lod, gwy_service_name(req), rule,
+				     now_us) > rule->slack * HEDGE_BUDGET_SHARE;
 }
 
 bool gwy_overdue_should_hedge(struct gwy_request *req, int64_t now_us)
--- a/src/gwy_request.c
+++ b/src/gwy_request.c
@@ -149,7 +149,8 @@
 		return;
 	req->logged = true;
 	if (req->cfg && req->service != FS_NONE && req->status >= 500)
-		lod_sent(req->gwy->lod, gwy_service_name(req), 0, 0, 1);
+		lod_record_requests(req->gwy->lod, gwy_service_name(req), 0, 0,
+				    1);
 	fs_json_string(out, req->id ? req->id : "");
 	g_string_append_printf(out, ",\"outcome\":\"%s\",\"status\":%u",
 			       outcome, req->status);
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -16,7 +16,8 @@
 		.age_us = now_us - req->started_us,
 		.left_us = req->deadline_us - now_us,
 		.objective_us = gwy_choose_objective(req),
-		.mean_us = lod_mean(req->gwy->lod, gwy_service_name(req)),
+		.mean_us =
+			lod_mean_latency(req->gwy->lod, gwy_service_name(req)),
 		.wait_us = choice->wait_us,
 		.has_capacity = choice->target != NULL,
 		.attempted = req->attempt_count > 0,
@@ -53,8 +54,8 @@
 	t->req->attempts_in_flight--;
 	if (t->target->gone)
 		return;
-	bal_of(t->target, t->started_us)->own--;
-	lod_change(t->req->gwy->lod, t->target);
+	bal_target_get(t->target, t->started_us)->own--;
+	lod_in_flight_changed(t->req->gwy->lod, t->target);
 }
 
 static void set_timer(struct gwy_request *req, int64_t now_us)
@@ -113,12 +114,13 @@
 	t->wait_us = choice->wait_us;
 	t->in_flight = true;
 	req->attempts_in_flight++;
-	bal_of(t->target, now_us)->own++;
-	bal_of(t->target, now_us)->sent_us = now_us;
-	lod_change(req->gwy->lod, t->target);
+	bal_target_get(t->target, now_us)->own++;
+	bal_target_get(t->target, now_us)->sent_us = now_us;
+	lod_in_flight_changed(req->gwy->lod, t->target);
 	if (req->attempts_sent) {
 		bud_count_retry(budget_of(req), &req->gwy->budget_rule, now_us);
-		lod_sent(req->gwy->lod, gwy_service_name(req), 0, 1, 0);
+		lod_record_requests(req->gwy->lod, gwy_service_name(req), 0, 1,
+				    0);
 	}
 	req->attempts_sent++;
 	ctr_count(req->gwy->node->ctr, "gwy_sends", 1);
@@ -183,8 +185,8 @@
 	struct gwy *gwy = req->gwy;
 	double own = bud_retries_left(budget_of(req), &gwy->budget_rule,
 				      gwy->members_alive, now_us);
-	double pool = lod_budget_left(gwy->lod, gwy_service_name(req),
-				      &gwy->budget_rule, now_us);
+	double pool = lod_retry_budget_left(gwy->lod, gwy_service_name(req),
+					    &gwy->budget_rule, now_us);
 	double recent =
 		bud_recent_retries(budget_of(req), &gwy->budget_rule, now_us);
 
@@ -253,7 +255,7 @@
 {
 	req->state = GWY_WAITING;
 	bud_count_request(budget_of(req), &req->gwy->budget_rule, now_us);
-	lod_sent(req->gwy->lod, gwy_service_name(req), 1, 0, 0);
+	lod_record_requests(req->gwy->lod, gwy_service_name(req), 1, 0, 0);
 	send_or_refuse(req, now_us);
 }
 
@@ -267,8 +269,8 @@
 	if (t->err)
 		return GRY_BROKEN;
 	if (t->not_run)
-		return t->status == 421 ? GRY_OTHER : GRY_FULL;
-	return t->status >= 500 ? GRY_FAILED : GRY_GOOD;
+		return t->status == 421 ? GRY_WRONG_SERVER : GRY_FULL;
+	return t->status >= 500 ? GRY_FAILED : GRY_SUCCESS;
 }
 
 static void report_outcome(struct gwy_attempt *t)
@@ -279,8 +281,8 @@
 		return;
 	t->overdue |= outcome == GRY_OVERDUE;
 	/* The wait for a slot is not part of the service time of the target. */
-	lod_outcome(t->req->gwy->lod, t->target, outcome,
-		    MAX(t->took_us - t->wait_us, t->took_us / 4));
+	lod_record_outcome(t->req->gwy->lod, t->target, outcome,
+			   MAX(t->took_us - t->wait_us, t->took_us / 4));
 }
 
 static bool is_not_run(const struct gwy_attempt *t,
@@ -444,7 +446,8 @@
 		struct gwy_attempt *t = &req->attempts[i];
 
 		if (t->in_flight && !t->overdue)
-			lod_outcome(req->gwy->lod, t->target, GRY_OVERDUE, 0);
+			lod_record_outcome(req->gwy->lod, t->target,
+					   GRY_OVERDUE, 0);
 	}
 	gwy_request_cancel_attempts(req);
 	gwy_answer_refuse(
--- a/tests/unit_gwy.c
+++ b/tests/unit_gwy.c
@@ -314,8 +314,9 @@
 	yard_target(&y, "list", serve_nothing, NULL);
 	yard_target(&y, "list", serve_ok, NULL);
 	full = dir_target_find(y.dir, "s1");
-	bal_of(full, fs_now_us())->others = 20;
-	gry_note(&bal_of(full, 0)->gry, GRY_FULL, 1.0, fs_now_us());
+	bal_target_get(full, fs_now_us())->others = 20;
+	gry_record_outcome(&bal_target_get(full, 0)->gry, GRY_FULL, 1.0,
+			   fs_now_us());
 	bal_note_full(full, fs_now_us());
 	yard_call(&y, &c, LIST_REQUEST);
 	yard_until(&y, yard_arrivals(&y) == 1);
