--- a/src/dsp_exchange.c
+++ b/src/dsp_exchange.c
@@ -188,7 +188,7 @@
 	};
 
 	release(run, &judged, now_us);
-	if (shard && end->headed)
+	if (shard && end->headers_complete)
 		dsp_leave_answer(shard, dsp_run_server(run), tgt_draining(tgt),
 				 now_us);
 	if (end->err)
@@ -224,7 +224,7 @@
 static const struct tgt_ops exchange_ops = {
 	.begun = on_begun,
 	.more = on_more,
-	.silent = on_silent,
+	.headers_overdue = on_silent,
 	.done = on_done,
 };
 
@@ -255,7 +255,7 @@
 		.m = &run->m->request,
 		.id = id,
 		.repeatable = run->repeatable,
-		.fresh = run->tries > 0,
+		.new_connection = run->tries > 0,
 		.deadline_us = run->deadline_us,
 	};
 
@@ -267,7 +267,7 @@
 	run->started_us = now_us;
 	run->token = hlt_request_started(shard->hlt, i,
 					 run->deadline_us - now_us, now_us);
-	request.head_us = head_limit(run, now_us);
+	request.headers_deadline_us = head_limit(run, now_us);
 	run->tgt =
 		tgt_start(run->dsp->pool, &request, &exchange_ops, run, now_us);
 	if (run->tgt)
--- a/src/gwy_choose.c
+++ b/src/gwy_choose.c
@@ -1,27 +1,28 @@
 #include "gwy_impl.h"
 
-/* A failure costs a request that may not be repeated its whole worth, several
- * times the time it is allowed; another one costs it a second send, which the
- * budget may not have. In objectives of the route. */
-#define FAILURE_ONCE 12
-#define FAILURE_REPEATABLE 4
+/* Cost of a failure in objectives of the route. A request that is not
+ * repeatable is lost, which costs several times its allowed time; another one
+ * costs a retry, which the budget may not have. */
+#define FAILURE_COST_UNSAFE 12
+#define FAILURE_COST_REPEATABLE 4
 /* Another failure domain is used when waits or failures in the own one cost
- * more than this. Bytes between domains are dear: an answer of 90 kB costs the
- * dearer deployment three requests' worth, and waits for its own domain. */
-#define CROSS_US (120 * FS_US_PER_MS)
-#define CROSS_BYTE_US 60
-#define OBJECTIVE_DEFAULT_US FS_US_PER_S /* of routes that tell none */
+ * more than this. Bytes between domains are expensive: an answer of 90 kB
+ * costs as much as three requests in the more expensive deployment, and
+ * therefore waits for its own domain. */
+#define CROSS_DOMAIN_US (120 * FS_US_PER_MS)
+#define CROSS_DOMAIN_BYTE_US 60
+#define OBJECTIVE_DEFAULT_US FS_US_PER_S /* of routes without one */
 
-/* A wait that is expected to be longer than what is left by this much can't be
- * met: expected waits are right within a quarter. */
-#define WAIT_SLACK 1.25
+/* Expected waits are accurate to within a quarter: a wait longer than the time
+ * left by more than that factor can't be met. */
+#define WAIT_TOLERANCE 1.25
 
 uint64_t gwy_random(struct gwy *gwy)
 {
-	gwy->random ^= gwy->random << 13;
-	gwy->random ^= gwy->random >> 7;
-	gwy->random ^= gwy->random << 17;
-	return gwy->random;
+	gwy->random_state ^= gwy->random_state << 13;
+	gwy->random_state ^= gwy->random_state >> 7;
+	gwy->random_state ^= gwy->random_state << 17;
+	return gwy->random_state;
 }
 
 int64_t gwy_choose_objective(const struct gwy_request *req)
@@ -35,15 +36,16 @@
 				      int64_t wait_us, int64_t now_us)
 {
 	return (double)wait_us >
-	       (double)(req->deadline_us - now_us) * WAIT_SLACK;
+	       (double)(req->deadline_us - now_us) * WAIT_TOLERANCE;
 }
 
-static uint32_t tried(const struct gwy_request *req,
-		      const struct dir_target *out[GWY_ATTEMPTS_MAX])
+static uint32_t
+attempted_targets(const struct gwy_request *req,
+		  const struct dir_target *out[GWY_ATTEMPTS_MAX])
 {
-	for (uint32_t i = 0; i < req->try_count; i++)
-		out[i] = req->tries[i].target;
-	return req->try_count;
+	for (uint32_t i = 0; i < req->attempt_count; i++)
+		out[i] = req->attempts[i].target;
+	return req->attempt_count;
 }
 
 struct bal_choice gwy_choose(struct gwy_request *req, int64_t now_us)
@@ -59,13 +61,14 @@
 		.mean_us = lod_mean_latency(gwy->lod, service),
 		.failure_cost_us =
 			objective_us * (gwy_route_of(req)->repeatable ?
-						FAILURE_REPEATABLE :
-						FAILURE_ONCE),
+						FAILURE_COST_REPEATABLE :
+						FAILURE_COST_UNSAFE),
 		.cross_domain_cost_us =
-			CROSS_US + CROSS_BYTE_US * gwy_answer_mean_bytes(req),
+			CROSS_DOMAIN_US +
+			CROSS_DOMAIN_BYTE_US * gwy_answer_mean_bytes(req),
 		.repeatable = gwy_route_of(req)->repeatable,
 		.avoid = avoid,
-		.avoid_count = tried(req, avoid),
+		.avoid_count = attempted_targets(req, avoid),
 		.rate = lod_request_rate(gwy->lod, service, now_us),
 		.domain_share = gwy->domain_share,
 		.now_us = now_us,
@@ -76,7 +79,7 @@
 	if (!choice.target ||
 	    !gwy_choose_wait_exceeds_deadline(req, choice.wait_us, now_us))
 		return choice;
-	/* Waiting there would be for nothing: a doubtful target is better. */
+	/* The wait would miss the deadline: a suspected target is better. */
 	wish.failure_cost_us = 0;
 	wish.cross_domain_cost_us = 0;
 	return bal_choose(targets, &wish);
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -2,15 +2,15 @@
 
 #include "rty.h"
 
-/* Requests that are parked until a target has room look for one so often. */
-#define PARK_US (50 * FS_US_PER_MS)
+/* Interval at which a parked request looks for a target with capacity. */
+#define PARK_POLL_US (50 * FS_US_PER_MS)
 
-/* Callers come back spread over this time, so that they do not meet again. */
-#define COME_BACK_SPREAD_US (400 * FS_US_PER_MS)
+/* Jitter of Retry-After, so that refused callers do not return at once. */
+#define RETRY_AFTER_JITTER_US (400 * FS_US_PER_MS)
 
-static struct adm_input admission(const struct gwy_request *req,
-				  const struct bal_choice *choice,
-				  int64_t now_us)
+static struct adm_input admission_input(const struct gwy_request *req,
+					const struct bal_choice *choice,
+					int64_t now_us)
 {
 	return (struct adm_input){
 		.age_us = now_us - req->started_us,
@@ -19,18 +19,18 @@
 		.mean_us =
 			lod_mean_latency(req->gwy->lod, gwy_service_name(req)),
 		.wait_us = choice->wait_us,
-		.room = choice->target != NULL,
-		.offered = req->try_count > 0,
+		.has_capacity = choice->target != NULL,
+		.attempted = req->attempt_count > 0,
 	};
 }
 
-static int64_t come_back(struct gwy_request *req,
-			 const struct bal_choice *choice, int64_t now_us)
+static int64_t retry_after_us(struct gwy_request *req,
+			      const struct bal_choice *choice, int64_t now_us)
 {
-	struct adm_input n = admission(req, choice, now_us);
+	struct adm_input n = admission_input(req, choice, now_us);
 
 	return adm_retry_after(&n) +
-	       (int64_t)(gwy_random(req->gwy) % COME_BACK_SPREAD_US);
+	       (int64_t)(gwy_random(req->gwy) % RETRY_AFTER_JITTER_US);
 }
 
 static struct bud *budget_of(struct gwy_request *req)
@@ -48,10 +48,10 @@
 
 void gwy_send_release_slot(struct gwy_attempt *t)
 {
-	if (!t->held)
+	if (!t->in_flight)
 		return;
-	t->held = false;
-	t->req->running--;
+	t->in_flight = false;
+	t->req->attempts_in_flight--;
 	if (t->target->removed_from_dir)
 		return;
 	bal_target_get(t->target, t->started_us)->own--;
@@ -67,19 +67,19 @@
 	if (now_us < last_us)
 		at_us = MIN(at_us, last_us);
 
-	for (uint32_t i = 0; i < req->try_count; i++) {
-		const struct gwy_attempt *t = &req->tries[i];
+	for (uint32_t i = 0; i < req->attempt_count; i++) {
+		const struct gwy_attempt *t = &req->attempts[i];
 
-		if (t->held && !t->overdue)
+		if (t->in_flight && !t->overdue)
 			at_us = MIN(at_us,
 				    t->started_us + t->wait_us + late_us);
 	}
 	gwy_request_timer(req, at_us, now_us);
 }
 
-static const struct tgt_ops try_ops;
+static const struct tgt_ops attempt_ops;
 
-static bool start_tgt(struct gwy_attempt *t, int64_t now_us)
+static bool start_exchange(struct gwy_attempt *t, int64_t now_us)
 {
 	struct gwy_request *req = t->req;
 	struct gwy *gwy = req->gwy;
@@ -91,41 +91,40 @@
 		.m = m,
 		.id = req->id,
 		.repeatable = repeatable,
-		.fresh = req->try_count > 1,
+		.new_connection = req->attempt_count > 1,
 		.deadline_us = req->deadline_us,
-		.head_us = req->deadline_us,
+		.headers_deadline_us = req->deadline_us,
 		.dialect = &gwy->fields.target,
 	};
 
 	msg_headers_add(m->headers, gwy->fields.instance, entry->id);
-	t->tgt = tgt_start(gwy->pool, &request, &try_ops, t, now_us);
+	t->tgt = tgt_start(gwy->pool, &request, &attempt_ops, t, now_us);
 	g_array_remove_index(m->headers, m->headers->len - 1);
 	return t->tgt != NULL;
 }
 
-/* Starts a send to the target of a choice. */
-static void start_try(struct gwy_request *req, const struct bal_choice *choice,
-		      int64_t now_us)
+static void start_attempt(struct gwy_request *req,
+			  const struct bal_choice *choice, int64_t now_us)
 {
-	struct gwy_attempt *t = &req->tries[req->try_count++];
+	struct gwy_attempt *t = &req->attempts[req->attempt_count++];
 
 	t->req = req;
 	t->target = dir_target_ref(choice->target);
 	t->started_us = now_us;
 	t->wait_us = choice->wait_us;
-	t->held = true;
-	req->running++;
+	t->in_flight = true;
+	req->attempts_in_flight++;
 	bal_target_get(t->target, now_us)->own++;
 	bal_target_get(t->target, now_us)->sent_us = now_us;
 	lod_in_flight_changed(req->gwy->lod, t->target);
-	if (req->sent) {
+	if (req->attempts_sent) {
 		bud_count_retry(budget_of(req), &req->gwy->budget_rule, now_us);
 		lod_record_requests(req->gwy->lod, gwy_service_name(req), 0, 1,
 				    0);
 	}
-	req->sent++;
+	req->attempts_sent++;
 	ctr_count(req->gwy->node->ctr, "gwy_sends", 1);
-	if (!start_tgt(t, now_us)) {
+	if (!start_exchange(t, now_us)) {
 		t->err = FS_E_NO_MEMORY;
 		t->not_run = true;
 		gwy_send_release_slot(t);
@@ -143,28 +142,28 @@
 		return req->may_have_run ? FS_E_DEADLINE : FS_E_DEADLINE_QUEUED;
 	if (!choice->target)
 		return choice->full ? FS_E_QUEUE_FULL : FS_E_NO_TARGET;
-	n = admission(req, choice, now_us);
+	n = admission_input(req, choice, now_us);
 	return adm_decide(&n) == ADM_SEND ? 0 : FS_E_WAIT_TOO_LONG;
 }
 
-/* Keeps a request here for a moment if no target has room. One that a target
- * works on is not kept: its own answer may come at any time. */
+/* Parks a request if no target has capacity. A request with an attempt in
+ * flight is not parked: that answer may arrive at any time. */
 static bool park(struct gwy_request *req, const struct bal_choice *choice,
 		 int err, int64_t now_us)
 {
-	struct adm_input n = admission(req, choice, now_us);
+	struct adm_input n = admission_input(req, choice, now_us);
 
-	req->parked = !req->running &&
+	req->parked = !req->attempts_in_flight &&
 		      (err == FS_E_QUEUE_FULL || err == FS_E_WAIT_TOO_LONG) &&
 		      adm_decide(&n) == ADM_PARK;
 	if (req->parked) {
 		ctr_count(req->gwy->node->ctr, "gwy_parked", 1);
-		gwy_request_timer(req, now_us + PARK_US, now_us);
+		gwy_request_timer(req, now_us + PARK_POLL_US, now_us);
 	}
 	return req->parked;
 }
 
-static const char *reason(const struct rty_input *n)
+static const char *no_retry_reason_of(const struct rty_input *n)
 {
 	if (!n->repeatable && n->written)
 		return "may_have_run";
@@ -177,24 +176,23 @@
 	return "no_target";
 }
 
-/* A node's own share is always its own. While the whole fleet has more left
- * than one repeat for each node, a node may take one more: if all do so before
- * they hear of each other, which takes less than two buckets of time, the sum
- * still stays within the budget. */
+/* A node may always use its own share. While the fleet has more left than one
+ * retry for each node, a node may use one more: if all do so before they
+ * receive each other's counts, which takes less than two buckets of time, the
+ * sum still stays within the budget. */
 static double budget_left(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
 	double own = bud_retries_left(budget_of(req), &gwy->budget_rule,
-				      gwy->alive, now_us);
+				      gwy->members_alive, now_us);
 	double pool = lod_retry_budget_left(gwy->lod, gwy_service_name(req),
 					    &gwy->budget_rule, now_us);
 	double recent =
 		bud_recent_retries(budget_of(req), &gwy->budget_rule, now_us);
 
-	return MAX(own, pool / gwy->alive - recent);
+	return MAX(own, pool / gwy->members_alive - recent);
 }
 
-/* Sends a request once more, if the rule of retries allows it. */
 bool gwy_send_retry(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
@@ -204,7 +202,7 @@
 		.repeatable = route->repeatable,
 		.written = req->may_have_run,
 		.begun = req->state == GWY_STREAMING,
-		.tries = req->sent,
+		.tries = req->attempts_sent,
 		.tries_max = MAX(route->tries, 1),
 		.budget_milli =
 			(int64_t)(budget_left(req, now_us) * RTY_COST_MILLI),
@@ -214,21 +212,21 @@
 	};
 	int err;
 
-	/* A send that reached nobody is not repeated by the next one. */
-	if (!req->sent)
+	/* An attempt that reached no server costs no retry budget. */
+	if (!req->attempts_sent)
 		n.budget_milli = RTY_COST_MILLI;
 	err = cannot_send(req, &choice, now_us);
 	if (err == FS_E_QUEUE_FULL || err == FS_E_WAIT_TOO_LONG)
 		n.usable = 1;
-	if (req->try_count == GWY_ATTEMPTS_MAX || !rty_allowed(&n) ||
+	if (req->attempt_count == GWY_ATTEMPTS_MAX || !rty_allowed(&n) ||
 	    (err && !park(req, &choice, err, now_us))) {
-		req->no_retry = reason(&n);
+		req->no_retry_reason = no_retry_reason_of(&n);
 		return false;
 	}
 	if (err)
 		return true;
 	ctr_count(gwy->node->ctr, "gwy_sent_again", 1);
-	start_try(req, &choice, now_us);
+	start_attempt(req, &choice, now_us);
 	set_timer(req, now_us);
 	return true;
 }
@@ -241,16 +239,16 @@
 	if (err) {
 		if (!park(req, &choice, err, now_us))
 			gwy_answer_refuse(req, err,
-					  come_back(req, &choice, now_us),
+					  retry_after_us(req, &choice, now_us),
 					  now_us);
 		return;
 	}
-	start_try(req, &choice, now_us);
-	if (req->running)
+	start_attempt(req, &choice, now_us);
+	if (req->attempts_in_flight)
 		set_timer(req, now_us);
 	else
 		gwy_answer_refuse(req, FS_E_NO_TARGET,
-				  come_back(req, &choice, now_us), now_us);
+				  retry_after_us(req, &choice, now_us), now_us);
 }
 
 void gwy_send_first(struct gwy_request *req, int64_t now_us)
@@ -261,7 +259,7 @@
 	send_or_refuse(req, now_us);
 }
 
-/* What an ended send says of its target. */
+/* Classifies the outcome of an attempt as evidence on its target. */
 static enum gry_outcome outcome_of(const struct gwy_attempt *t)
 {
 	if (t->err == FS_E_CONNECT)
@@ -275,14 +273,14 @@
 	return t->status >= 500 ? GRY_FAILED : GRY_SUCCESS;
 }
 
-static void tell_outcome(struct gwy_attempt *t)
+static void report_outcome(struct gwy_attempt *t)
 {
 	enum gry_outcome outcome = outcome_of(t);
 
 	if (outcome == GRY_OVERDUE && t->overdue)
 		return;
 	t->overdue |= outcome == GRY_OVERDUE;
-	/* The wait for a slot says nothing of how fast the target works. */
+	/* The wait for a slot is not part of the service time of the target. */
 	lod_record_outcome(t->req->gwy->lod, t->target, outcome,
 			   MAX(t->took_us - t->wait_us, t->took_us / 4));
 }
@@ -296,7 +294,7 @@
 	       msg_headers_get(headers, t->req->gwy->fields.not_run);
 }
 
-/* The answer of the fleet when no send gave one that can be passed on. */
+/* Returns the error for the caller if no attempt gave an answer to forward. */
 static int final_err(const struct gwy_attempt *t)
 {
 	if (!t->req->may_have_run)
@@ -322,12 +320,12 @@
 		req, err,
 		req->may_have_run ?
 			0 :
-			come_back(req, &(struct bal_choice){0}, now_us),
+			retry_after_us(req, &(struct bal_choice){0}, now_us),
 		now_us);
 }
 
-/* A failure answer is passed on only if no better one can be had. */
-static bool is_good(const struct gwy_attempt *t)
+/* Other answers are forwarded only if no retry is possible. */
+static bool is_success(const struct gwy_attempt *t)
 {
 	return !t->err && !t->not_run && t->status < 500;
 }
@@ -359,12 +357,12 @@
 	if (!streaming)
 		headers = tgt_peek_headers(tgt);
 	t->not_run = !streaming && is_not_run(t, end, headers);
-	/* Nothing was written: the server never saw this send. */
+	/* Nothing was written: the server has not seen this attempt. */
 	if (end->err && !end->written)
-		req->sent--;
+		req->attempts_sent--;
 	else if (!t->not_run)
 		req->may_have_run = true;
-	tell_outcome(t);
+	report_outcome(t);
 	gwy_send_release_slot(t);
 	if (streaming) {
 		on_stream_end(t);
@@ -372,18 +370,18 @@
 	}
 	if (req->state != GWY_WAITING)
 		return;
-	if (is_good(t)) {
+	if (is_success(t)) {
 		gwy_answer_buffered(t, now_us);
 		gwy_request_cancel_attempts(req);
 		return;
 	}
-	/* Another send is still under way, or follows now. */
-	if (req->running || gwy_send_retry(req, now_us))
+	/* Another attempt is in flight, or starts now. */
+	if (req->attempts_in_flight || gwy_send_retry(req, now_us))
 		return;
 	finish(t, now_us);
 }
 
-/* The body is long: pass it on while it comes in. */
+/* The body is too long to be buffered: it is forwarded as it arrives. */
 static void on_begun(void *arg, struct tgt *tgt)
 {
 	struct gwy_attempt *t = arg;
@@ -395,14 +393,14 @@
 	gwy_answer_stream(t, fs_now_us());
 }
 
-/* Ends the sends whose answer is not the one that is passed on. libcurl does
- * not let go of a transfer inside a callback, where streams begin. */
-static void stop_others(struct gwy_request *req)
+/* Cancels the attempts whose answer is not forwarded. libcurl can't remove a
+ * transfer inside a callback, where streams start. */
+static void cancel_other_attempts(struct gwy_request *req)
 {
-	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_attempt *t = &req->tries[i];
+	for (uint32_t i = 0; i < req->attempt_count; i++) {
+		struct gwy_attempt *t = &req->attempts[i];
 
-		if (t == req->stream || !t->held)
+		if (t == req->stream || !t->in_flight)
 			continue;
 		tgt_free(t->tgt);
 		t->tgt = NULL;
@@ -420,21 +418,21 @@
 		gwy_request_resume(t->req);
 }
 
-static bool on_silent(void *arg, struct tgt *tgt)
+static bool on_headers_overdue(void *arg, struct tgt *tgt)
 {
 	(void)arg;
 	(void)tgt;
 	return false;
 }
 
-static const struct tgt_ops try_ops = {
+static const struct tgt_ops attempt_ops = {
 	.begun = on_begun,
 	.more = on_more,
-	.silent = on_silent,
+	.headers_overdue = on_headers_overdue,
 	.done = on_done,
 };
 
-static void give_up(struct gwy_request *req, int64_t now_us)
+static void on_deadline(struct gwy_request *req, int64_t now_us)
 {
 	if (req->state == GWY_STREAMING) {
 		gwy_request_cancel_attempts(req);
@@ -444,10 +442,10 @@
 		gwy_request_resume(req);
 		return;
 	}
-	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_attempt *t = &req->tries[i];
+	for (uint32_t i = 0; i < req->attempt_count; i++) {
+		struct gwy_attempt *t = &req->attempts[i];
 
-		if (t->held && !t->overdue)
+		if (t->in_flight && !t->overdue)
 			lod_record_outcome(req->gwy->lod, t->target,
 					   GRY_OVERDUE, 0);
 	}
@@ -457,16 +455,16 @@
 		0, now_us);
 }
 
-/* Room may have come free for a request that waits here. */
-static void resend(struct gwy_request *req, int64_t now_us)
+/* Retries a parked request, as capacity may be free now. */
+static void retry_parked(struct gwy_request *req, int64_t now_us)
 {
-	if (!req->try_count) {
+	if (!req->attempt_count) {
 		send_or_refuse(req, now_us);
 		return;
 	}
 	if (gwy_send_retry(req, now_us))
 		return;
-	finish(&req->tries[req->try_count - 1], now_us);
+	finish(&req->attempts[req->attempt_count - 1], now_us);
 }
 
 void gwy_send_timer(struct gwy_request *req, int64_t now_us)
@@ -474,16 +472,16 @@
 	if (req->state == GWY_ENDED)
 		return;
 	if (now_us >= req->deadline_us) {
-		give_up(req, now_us);
+		on_deadline(req, now_us);
 		return;
 	}
 	if (req->parked) {
 		req->parked = false;
-		resend(req, now_us);
+		retry_parked(req, now_us);
 		return;
 	}
 	if (req->state == GWY_STREAMING)
-		stop_others(req);
+		cancel_other_attempts(req);
 	if (req->state == GWY_WAITING) {
 		gwy_overdue_report(req, now_us);
 		if (gwy_overdue_should_hedge(req, now_us))
--- a/src/rty.c
+++ b/src/rty.c
@@ -1,6 +1,6 @@
 #include "rty.h"
 
-#define RTY_IDLE_MAX_US 60000000LL /* longer gaps fill the budget anyway */
+#define RTY_GAP_MAX_US 60000000LL /* longer gaps fill the budget in any case */
 
 void rty_budget_init(struct rty_budget *budget, int64_t now_us)
 {
@@ -10,7 +10,7 @@
 
 int64_t rty_budget_milli(struct rty_budget *budget, int64_t now_us)
 {
-	int64_t gap_us = MIN(now_us - budget->updated_us, RTY_IDLE_MAX_US);
+	int64_t gap_us = MIN(now_us - budget->updated_us, RTY_GAP_MAX_US);
 	int64_t milli = gap_us * RTY_RATE_MILLI / FS_US_PER_S;
 
 	if (milli > 0) {
--- a/src/tgt_answer.c
+++ b/src/tgt_answer.c
@@ -9,7 +9,7 @@
 	return !tgt->no_body && tgt->status != 204 && tgt->status != 304;
 }
 
-/* Digits only: a list, a sign or two different lengths are refused. */
+/* Digits only: a list, a sign or two different lengths are invalid. */
 static void read_length(struct tgt *tgt, const char *value)
 {
 	char *end;
@@ -23,15 +23,15 @@
 	tgt->length = length;
 }
 
-/* An answer to another request may arrive where this one's is expected. */
-static void read_name(struct tgt *tgt, const char *value)
+/* Rejects an answer to another request, which may arrive on this connection. */
+static void read_request_id(struct tgt *tgt, const char *value)
 {
-	tgt->named = !strcmp(value, tgt->id);
-	if (!tgt->named)
+	tgt->request_id_matched = !strcmp(value, tgt->id);
+	if (!tgt->request_id_matched)
 		tgt->invalid = true;
 }
 
-static const char *name_field(const struct tgt *tgt)
+static const char *request_id_field(const struct tgt *tgt)
 {
 	return tgt->dialect ? tgt->dialect->request_id : "Fescuesaddle-Request";
 }
@@ -44,8 +44,8 @@
 		tgt->chunked = true;
 	else if (!g_ascii_strcasecmp(name, "Draining"))
 		tgt->draining = !strcmp(value, "1");
-	else if (!g_ascii_strcasecmp(name, name_field(tgt)))
-		read_name(tgt, value);
+	else if (!g_ascii_strcasecmp(name, request_id_field(tgt)))
+		read_request_id(tgt, value);
 	if (tgt_is_hop_by_hop(name))
 		return;
 	if (tgt->headers->len >= TGT_HEADERS_MAX)
@@ -54,7 +54,7 @@
 		msg_headers_add(tgt->headers, name, value);
 }
 
-/* An informational answer may come before the final one. */
+/* An informational answer may precede the final one. */
 static void begin_answer(struct tgt *tgt, const char *line)
 {
 	const char *space = strchr(line, ' ');
@@ -62,7 +62,7 @@
 	tgt->status = space ? (uint32_t)strtoul(space + 1, NULL, 10) : 0;
 	tgt->length = -1;
 	tgt->chunked = false;
-	tgt->named = false;
+	tgt->request_id_matched = false;
 	g_array_set_size(tgt->headers, 0);
 }
 
@@ -70,17 +70,17 @@
 {
 	if (tgt->status >= 100 && tgt->status < 200)
 		return;
-	tgt->headed = true;
-	tgt->headed_us = fs_now_us();
+	tgt->headers_complete = true;
+	tgt->headers_at_us = fs_now_us();
 	if (tgt->chunked && tgt->length >= 0)
 		tgt->invalid = true;
 	if (tgt_has_body(tgt) && !tgt->chunked && tgt->length < 0 &&
 	    !tgt->dialect)
 		tgt->invalid = true;
-	/* A success that does not name its request, or bears no proof, may be
-	 * anybody's. */
+	/* A success that does not name its request, or has no proof, may come
+	 * from another server or belong to another request. */
 	if (tgt->dialect && tgt->status < 300 &&
-	    (!tgt->named ||
+	    (!tgt->request_id_matched ||
 	     !msg_headers_get(tgt->headers, tgt->dialect->proof)))
 		tgt->invalid = true;
 }
@@ -96,7 +96,7 @@
 	if (tgt->header_bytes > TGT_HEADER_BYTES_MAX || strlen(line) != bytes)
 		tgt->invalid = true;
 	g_strchomp(line);
-	if (tgt->headed) /* trailer fields are dropped */
+	if (tgt->headers_complete) /* trailer fields are dropped */
 		return tgt->invalid ? 0 : bytes;
 	colon = strchr(line, ':');
 	if (!strncmp(line, "HTTP/", 5)) {
--- a/src/tgt_pool.c
+++ b/src/tgt_pool.c
@@ -6,11 +6,11 @@
 
 struct tgt_pool {
 	struct crl *crl;
-	GHashTable *fds;  /* both ends as text to socket */
+	GHashTable *fds;  /* endpoints as text to socket */
 	GHashTable *ends; /* socket to the key in fds */
 };
 
-static char *text_of(const struct tgt_endpoints *ends)
+static char *format_endpoints(const struct tgt_endpoints *ends)
 {
 	return g_strdup_printf("%s:%d %s:%d", ends->local_ip, ends->local_port,
 			       ends->ip, ends->port);
@@ -75,7 +75,7 @@
 void tgt_pool_register(struct tgt_pool *pool, const struct tgt_endpoints *ends,
 		       curl_socket_t fd)
 {
-	char *text = text_of(ends);
+	char *text = format_endpoints(ends);
 
 	g_hash_table_replace(pool->fds, text, GINT_TO_POINTER(fd));
 	g_hash_table_insert(pool->ends, GINT_TO_POINTER(fd), text);
@@ -84,7 +84,7 @@
 bool tgt_pool_is_idle(const struct tgt_pool *pool,
 		      const struct tgt_endpoints *ends)
 {
-	g_autofree char *text = text_of(ends);
+	g_autofree char *text = format_endpoints(ends);
 	void *fd;
 	char byte;
 
--- a/src/tgt_request.c
+++ b/src/tgt_request.c
@@ -3,8 +3,8 @@
 
 #include "tgt_impl.h"
 
-/* Fields that belong to one connection, or that only the fleet may set. */
-static const char *const own_fields[] = {
+/* Hop-by-hop fields, and fields that only the fleet may set. */
+static const char *const reserved_fields[] = {
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Connection",
@@ -20,8 +20,8 @@
 
 bool tgt_is_hop_by_hop(const char *name)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(own_fields); i++) {
-		if (!g_ascii_strcasecmp(name, own_fields[i]))
+	for (size_t i = 0; i < G_N_ELEMENTS(reserved_fields); i++) {
+		if (!g_ascii_strcasecmp(name, reserved_fields[i]))
 			return true;
 	}
 	return !g_ascii_strncasecmp(name, "Fescuesaddle-", 13);
@@ -84,8 +84,8 @@
 	tgt->fields = curl_slist_append(tgt->fields, line);
 }
 
-/* A name with a colon and no value takes libcurl's own field out. */
-static void remove_field(struct tgt *tgt, const char *line)
+/* A name with a colon and no value suppresses libcurl's own field. */
+static void suppress_field(struct tgt *tgt, const char *line)
 {
 	tgt->fields = curl_slist_append(tgt->fields, line);
 }
@@ -100,10 +100,10 @@
 			add_field(tgt, h->name, h->value);
 	}
 	if (!msg_headers_get(m->headers, "Accept"))
-		remove_field(tgt, "Accept:");
+		suppress_field(tgt, "Accept:");
 	if (!msg_headers_get(m->headers, "Content-Type"))
-		remove_field(tgt, "Content-Type:");
-	remove_field(tgt, "Expect:");
+		suppress_field(tgt, "Content-Type:");
+	suppress_field(tgt, "Expect:");
 }
 
 static void set_method(struct tgt *tgt, const struct msg_request *m)
--- a/tests/prop_rty.cpp
+++ b/tests/prop_rty.cpp
@@ -1,6 +1,5 @@
-/*
- * Retries over arbitrary histories: the budget bounds them, and a request that
- * may not be repeated is never tried again once it was written.
+/* Retries over arbitrary histories: the budget bounds them, and a request that
+ * is not repeatable is never retried after it was written.
  */
 #include <rapidcheck.h>
 
@@ -20,7 +19,7 @@
 			rc::gen::inRange(0, 1000));
 		rty_budget budget;
 		int64_t now = 1000000;
-		const int64_t began = now;
+		const int64_t start = now;
 		int64_t requests = 0;
 		int64_t retries = 0;
 
@@ -47,13 +46,13 @@
 			RC_ASSERT(retries * RTY_COST_MILLI <=
 				  RTY_BURST_MAX_MILLI +
 					  requests * percent * 10 +
-					  (now - began) * RTY_RATE_MILLI /
+					  (now - start) * RTY_RATE_MILLI /
 						  FS_US_PER_S);
 		}
 	});
 }
 
-/* A case in which all hold is allowed; without any one of them it is not. */
+/* A retry is allowed if all conditions hold, and refused without any of them. */
 bool check_rule()
 {
 	return rc::check("each condition of a retry is needed", [] {
--- a/tests/unit_gwy.c
+++ b/tests/unit_gwy.c
@@ -1,5 +1,4 @@
-/* The gateway task: whose answer a caller gets, what is sent again, and when
- * a request is given up. */
+/* The gateway task: forwarded answers, retries, deadlines and cancellation. */
 #include <string.h>
 #include <sys/socket.h>
 
@@ -8,9 +7,10 @@
 #include "gwy_impl.h"
 
 #define FIELDS "Host: h\r\nX-Id: r1\r\nX-Left: 3000\r\n"
-#define PAY "POST /pay/1 HTTP/1.1\r\n" FIELDS "Content-Length: 3\r\n\r\na=1"
-#define LONG_BODY (300 * 1024) /* bytes; streamed, not held */
-#define LIST "GET /list/1?q=1 HTTP/1.1\r\n" FIELDS "\r\n"
+#define PAY_REQUEST \
+	"POST /pay/1 HTTP/1.1\r\n" FIELDS "Content-Length: 3\r\n\r\na=1"
+#define LONG_BODY (300 * 1024) /* bytes; streamed, not buffered */
+#define LIST_REQUEST "GET /list/1?q=1 HTTP/1.1\r\n" FIELDS "\r\n"
 
 static struct yard y;
 static struct yard_caller c;
@@ -88,8 +88,8 @@
 	fake_close_after(conn);
 }
 
-static void serve_foreign(void *arg, struct fake_conn *conn,
-			  const struct fake_request *request)
+static void serve_wrong_request_id(void *arg, struct fake_conn *conn,
+				   const struct fake_request *request)
 {
 	(void)arg;
 	(void)request;
@@ -97,9 +97,9 @@
 			     "Content-Length: 1\r\n\r\nx");
 }
 
-/* A success that names the request, without the target's proof. */
-static void serve_unproved(void *arg, struct fake_conn *conn,
-			   const struct fake_request *request)
+/* A success that names the request, without the target's seal. */
+static void serve_without_seal(void *arg, struct fake_conn *conn,
+			       const struct fake_request *request)
 {
 	(void)arg;
 	(void)request;
@@ -107,7 +107,7 @@
 			     "Content-Length: 5\r\n\r\nhello");
 }
 
-static void test_whole_answer(void)
+static void test_buffered_answer(void)
 {
 	const struct fake_request *r;
 	g_autofree char *left = NULL;
@@ -116,7 +116,7 @@
 
 	begin();
 	target = yard_target(&y, "pay", serve_ok, NULL);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_true(g_str_has_suffix(c.got->str, "\r\n\r\nhello"));
 	g_assert_nonnull(strstr(c.got->str, "X-Seal: z\r\n"));
@@ -131,14 +131,14 @@
 	end();
 }
 
-/* A request that waits costs nothing: the loop sleeps until the answer. */
+/* A waiting request uses no CPU: the loop sleeps until the answer. */
 static void test_waiting_does_not_spin(void)
 {
 	unsigned int before;
 
 	begin();
 	yard_target(&y, "list", serve_nothing, NULL);
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	yard_until(&y, yard_arrivals(&y) == 1);
 	before = ev_iteration(y.loop);
 	yard_run(&y, FS_US_PER_S / 2);
@@ -146,14 +146,14 @@
 	end();
 }
 
-static void test_failure_is_repeated_if_safe(void)
+static void test_failure_is_retried_if_safe(void)
 {
 	int failed = 0;
 
 	begin();
 	yard_target(&y, "list", serve_error_once, &failed);
 	yard_target(&y, "list", serve_error_once, &failed);
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_true(g_str_has_suffix(c.got->str, "second"));
 	g_assert_cmpuint(yard_arrivals(&y), ==, 2);
@@ -167,33 +167,33 @@
 	begin();
 	yard_target(&y, "pay", serve_error_once, &failed);
 	yard_target(&y, "pay", serve_error_once, &failed);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 500);
 	g_assert_cmpuint(yard_arrivals(&y), ==, 1);
 	end();
 }
 
-static void test_not_run_is_sent_again(void)
+static void test_not_run_is_retried(void)
 {
 	int shed = 0;
 
 	begin();
 	yard_target(&y, "pay", serve_shed_once, &shed);
 	yard_target(&y, "pay", serve_shed_once, &shed);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_cmpuint(yard_arrivals(&y), ==, 2);
 	end();
 }
 
-/* After a reset an unsafe request may have run: no second send, and no answer
- * that promises that it has not run. */
-static void test_reset_promises_nothing(void)
+/* After a reset an unsafe request may have run: no retry, and no answer that
+ * states that it has not run. */
+static void test_reset_may_have_run(void)
 {
 	begin();
 	yard_target(&y, "pay", serve_reset, NULL);
 	yard_target(&y, "pay", serve_reset, NULL);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 502);
 	g_assert_cmpuint(yard_arrivals(&y), ==, 1);
 	end();
@@ -203,7 +203,7 @@
 {
 	begin();
 	fake_refuse(yard_target(&y, "pay", serve_ok, NULL));
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 503);
 	g_assert_nonnull(strstr(c.got->str, "Retry-After: 0."));
 	end();
@@ -213,66 +213,65 @@
 {
 	begin();
 	yard_target(&y, "pay", serve_unframed, NULL);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_true(g_str_has_suffix(c.got->str, "unframed"));
 	end();
 }
 
-static void test_foreign_answer_is_not_given(void)
+static void test_wrong_request_id_is_rejected(void)
 {
 	begin();
-	yard_target(&y, "pay", serve_foreign, NULL);
-	yard_call(&y, &c, PAY);
+	yard_target(&y, "pay", serve_wrong_request_id, NULL);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 502);
 	end();
 }
 
-/* The answer comes when the route's time is over, not later. */
-static void test_success_without_proof_is_not_given(void)
+static void test_success_without_seal_is_rejected(void)
 {
 	begin();
-	yard_target(&y, "pay", serve_unproved, NULL);
-	yard_call(&y, &c, PAY);
+	yard_target(&y, "pay", serve_without_seal, NULL);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 502);
 	g_assert_cmpuint(yard_arrivals(&y), ==, 1);
 	end();
 }
 
-static void test_time_of_the_route(void)
+static void test_route_deadline(void)
 {
 	int64_t start_us;
 
 	begin();
 	yard_target(&y, "pay", serve_nothing, NULL);
 	start_us = fs_now_us();
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 504);
 	g_assert_cmpint(fs_now_us() - start_us, <,
 			(YARD_TIMEOUT_MS + 250) * FS_US_PER_MS);
 	end();
 }
 
-/* A caller that leaves takes its work with it: the connection to the target
+/* A caller that disconnects cancels its request: the connection to the target
  * is closed well within half a second. */
-static void test_caller_gone_ends_the_work(void)
+static void test_disconnect_cancels_attempts(void)
 {
 	struct fake *target;
 	struct yard_caller other;
 
 	begin();
 	target = yard_target(&y, "list", serve_nothing, NULL);
-	yard_call(&y, &other, LIST);
+	yard_call(&y, &other, LIST_REQUEST);
 	yard_until(&y, fake_open(target) == 1);
 	yard_hang_up(&other);
 	yard_run(&y, 200 * FS_US_PER_MS);
 	g_assert_cmpuint(fake_open(target), ==, 0);
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	end();
 }
 
 /* Hangs on the first request of all targets together, then sends a body that
- * is too long to be held. */
+ * is too long to be buffered. */
 static void serve_long_second(void *arg, struct fake_conn *conn,
 			      const struct fake_request *request)
 {
@@ -285,16 +284,16 @@
 	yard_ok(conn, request, body);
 }
 
-/* A second send beside one that hangs: the first is ended when the answer of
- * the second begins to stream. */
-static void test_stream_ends_other_sends(void)
+/* A hedge beside an attempt that hangs: the first is cancelled when the answer
+ * of the second starts to stream. */
+static void test_stream_cancels_other_attempts(void)
 {
 	int served = 0;
 
 	begin();
 	yard_target(&y, "list", serve_long_second, &served);
 	yard_target(&y, "list", serve_long_second, &served);
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	yard_expect(&y, &c, 200);
 	yard_until(&y, (yard_read(&c), c.got->len > LONG_BODY));
 	g_assert_cmpuint(yard_arrivals(&y), ==, 2);
@@ -303,9 +302,9 @@
 	end();
 }
 
-/* A second send beside one that runs finds no room: the request is not parked, so
- * that the answer which is under way stays the only one. */
-static void test_no_parking_beside_a_running_send(void)
+/* A hedge beside an attempt in flight finds no capacity: the request is not
+ * parked, so that the pending answer stays the only one. */
+static void test_no_parking_with_attempt_in_flight(void)
 {
 	struct dir_target *full;
 	GHashTableIter iter;
@@ -319,15 +318,17 @@
 	gry_record_outcome(&bal_target_get(full, 0)->gry, GRY_FULL, 1.0,
 			   fs_now_us());
 	bal_note_full(full, fs_now_us());
-	yard_call(&y, &c, LIST);
+	yard_call(&y, &c, LIST_REQUEST);
 	yard_until(&y, yard_arrivals(&y) == 1);
 	g_hash_table_iter_init(&iter, y.gwy->requests);
 	g_assert_true(g_hash_table_iter_next(&iter, &req, NULL));
-	g_assert_cmpuint(((struct gwy_request *)req)->running, ==, 1);
+	g_assert_cmpuint(((struct gwy_request *)req)->attempts_in_flight, ==,
+			 1);
 	g_assert_false(gwy_send_retry(req, fs_now_us()));
 	g_assert_false(((struct gwy_request *)req)->parked);
 	yard_run(&y, 200 * FS_US_PER_MS);
-	g_assert_cmpuint(((struct gwy_request *)req)->running, ==, 1);
+	g_assert_cmpuint(((struct gwy_request *)req)->attempts_in_flight, ==,
+			 1);
 	end();
 }
 
@@ -339,7 +340,7 @@
 	end();
 }
 
-/* A node that knows no configuration can't tell a missing route. */
+/* A node without a configuration can't report a missing route. */
 static void test_not_ready_refuses(void)
 {
 	begin();
@@ -356,7 +357,7 @@
 	begin();
 	yard_target(&y, "list", serve_ok, NULL);
 	yard_target(&y, "pay", serve_ok, NULL);
-	yard_call(&y, &c, LIST "GET /none/ HTTP/1.1\r\n" FIELDS "\r\n");
+	yard_call(&y, &c, LIST_REQUEST "GET /none/ HTTP/1.1\r\n" FIELDS "\r\n");
 	yard_until(&y, (yard_read(&c), strstr(c.got->str, "404")));
 	first = strstr(c.got->str, "200 OK");
 	second = strstr(c.got->str, "404");
@@ -365,28 +366,28 @@
 	end();
 }
 
-/* A planned stop finishes what is under way and ends. */
+/* A planned stop completes requests in flight and ends. */
 static void test_stop_finishes_the_request(void)
 {
 	begin();
 	yard_target(&y, "pay", serve_ok, NULL);
 	bus_send_all(y.node.bus, MSG_STOP, NULL);
 	yard_run(&y, 5000);
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 200);
 	g_assert_nonnull(strstr(c.got->str, "Connection: close"));
 	yard_until(&y, y.stopped);
 	end();
 }
 
-static struct fake_conn *flooded;
+static struct fake_conn *flooded_conn;
 
 /* Begins an answer that the test goes on with. */
-static void serve_beginning(void *arg, struct fake_conn *conn,
-			    const struct fake_request *request)
+static void serve_partial(void *arg, struct fake_conn *conn,
+			  const struct fake_request *request)
 {
 	(void)request;
-	flooded = conn;
+	flooded_conn = conn;
 	fake_send_text(conn, arg);
 }
 
@@ -399,19 +400,19 @@
 	yard_until(&y, yard_arrivals(&y) == 1);
 	while (fake_open(target)) {
 		g_assert_cmpint(fs_now_us(), <, until_us);
-		fake_send_text(flooded, piece);
+		fake_send_text(flooded_conn, piece);
 		yard_run(&y, FS_US_PER_MS);
 	}
 }
 
-/* Header fields without end: given up at the limit, long before the deadline. */
-static void test_endless_head_is_given_up(void)
+/* Endless header fields are rejected at the limit, long before the deadline. */
+static void test_endless_headers_are_rejected(void)
 {
 	struct fake *target;
 
 	begin();
-	target = yard_target(&y, "pay", serve_beginning, "HTTP/1.1 200 OK\r\n");
-	yard_call(&y, &c, PAY);
+	target = yard_target(&y, "pay", serve_partial, "HTTP/1.1 200 OK\r\n");
+	yard_call(&y, &c, PAY_REQUEST);
 	flood(target, "X-Filler: 0123456789012345678901234567890123456789\r\n",
 	      YARD_TIMEOUT_MS * FS_US_PER_MS / 2);
 	yard_expect(&y, &c, 502);
@@ -419,15 +420,14 @@
 }
 
 /* One header line without end. */
-static void test_endless_line_is_given_up(void)
+static void test_endless_header_line_is_rejected(void)
 {
 	g_autofree char *piece = g_strnfill(16 * 1024, 'x');
 	struct fake *target;
 
 	begin();
-	target = yard_target(&y, "pay", serve_beginning,
-			     "HTTP/1.1 200 OK\r\nX-");
-	yard_call(&y, &c, PAY);
+	target = yard_target(&y, "pay", serve_partial, "HTTP/1.1 200 OK\r\nX-");
+	yard_call(&y, &c, PAY_REQUEST);
 	flood(target, piece, YARD_TIMEOUT_MS * FS_US_PER_MS / 2);
 	yard_expect(&y, &c, 502);
 	end();
@@ -438,10 +438,10 @@
 	struct fake *target;
 
 	begin();
-	target = yard_target(&y, "pay", serve_beginning,
+	target = yard_target(&y, "pay", serve_partial,
 			     "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Seal: z\r\n"
 			     "Transfer-Encoding: chunked\r\n\r\n");
-	yard_call(&y, &c, PAY);
+	yard_call(&y, &c, PAY_REQUEST);
 	yard_until(&y, yard_arrivals(&y) == 1);
 	return target;
 }
@@ -453,8 +453,8 @@
 	return g_strdup_printf("4000\r\n%s\r\n", filler);
 }
 
-/* A body without end, in chunks: it ends with the route's time, and the caller
- * sees that it is cut. */
+/* An endless chunked body ends at the route's deadline, and the caller can see
+ * that it was cut. */
 static void test_endless_body_ends_in_time(void)
 {
 	g_autofree char *piece = body_piece();
@@ -470,14 +470,15 @@
 	end();
 }
 
-/* The same, and the caller leaves: the target's connection is closed at once. */
+/* An endless body: the caller disconnects, which closes the connection to the
+ * target immediately. */
 static void test_endless_body_ends_with_its_caller(void)
 {
 	g_autofree char *piece = body_piece();
 	struct fake *target = begin_endless_body();
 
 	for (int i = 0; i < 50; i++) {
-		fake_send_text(flooded, piece);
+		fake_send_text(flooded_conn, piece);
 		yard_run(&y, FS_US_PER_MS);
 	}
 	shutdown(c.fd, SHUT_RDWR);
@@ -489,42 +490,40 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	fs_log_init("test", 2);
-	g_test_add_func("/gwy/whole_answer", test_whole_answer);
+	g_test_add_func("/gwy/buffered_answer", test_buffered_answer);
 	g_test_add_func("/gwy/waiting_does_not_spin",
 			test_waiting_does_not_spin);
-	g_test_add_func("/gwy/failure_is_repeated_if_safe",
-			test_failure_is_repeated_if_safe);
+	g_test_add_func("/gwy/failure_is_retried_if_safe",
+			test_failure_is_retried_if_safe);
 	g_test_add_func("/gwy/failure_is_passed_on_if_unsafe",
 			test_failure_is_passed_on_if_unsafe);
-	g_test_add_func("/gwy/not_run_is_sent_again",
-			test_not_run_is_sent_again);
-	g_test_add_func("/gwy/reset_promises_nothing",
-			test_reset_promises_nothing);
+	g_test_add_func("/gwy/not_run_is_retried", test_not_run_is_retried);
+	g_test_add_func("/gwy/reset_may_have_run", test_reset_may_have_run);
 	g_test_add_func("/gwy/unreachable_is_not_run",
 			test_unreachable_is_not_run);
 	g_test_add_func("/gwy/unframed_answer_is_whole",
 			test_unframed_answer_is_whole);
-	g_test_add_func("/gwy/foreign_answer_is_not_given",
-			test_foreign_answer_is_not_given);
-	g_test_add_func("/gwy/time_of_the_route", test_time_of_the_route);
-	g_test_add_func("/gwy/caller_gone_ends_the_work",
-			test_caller_gone_ends_the_work);
-	g_test_add_func("/gwy/stream_ends_other_sends",
-			test_stream_ends_other_sends);
-	g_test_add_func("/gwy/success_without_proof_is_not_given",
-			test_success_without_proof_is_not_given);
-	g_test_add_func("/gwy/no_parking_beside_a_running_send",
-			test_no_parking_beside_a_running_send);
+	g_test_add_func("/gwy/wrong_request_id_is_rejected",
+			test_wrong_request_id_is_rejected);
+	g_test_add_func("/gwy/route_deadline", test_route_deadline);
+	g_test_add_func("/gwy/disconnect_cancels_attempts",
+			test_disconnect_cancels_attempts);
+	g_test_add_func("/gwy/stream_cancels_other_attempts",
+			test_stream_cancels_other_attempts);
+	g_test_add_func("/gwy/success_without_seal_is_rejected",
+			test_success_without_seal_is_rejected);
+	g_test_add_func("/gwy/no_parking_with_attempt_in_flight",
+			test_no_parking_with_attempt_in_flight);
 	g_test_add_func("/gwy/no_route", test_no_route);
 	g_test_add_func("/gwy/not_ready_refuses", test_not_ready_refuses);
 	g_test_add_func("/gwy/pipelined_answers_keep_their_order",
 			test_pipelined_answers_keep_their_order);
 	g_test_add_func("/gwy/stop_finishes_the_request",
 			test_stop_finishes_the_request);
-	g_test_add_func("/gwy/endless_head_is_given_up",
-			test_endless_head_is_given_up);
-	g_test_add_func("/gwy/endless_line_is_given_up",
-			test_endless_line_is_given_up);
+	g_test_add_func("/gwy/endless_headers_are_rejected",
+			test_endless_headers_are_rejected);
+	g_test_add_func("/gwy/endless_header_line_is_rejected",
+			test_endless_header_line_is_rejected);
 	g_test_add_func("/gwy/endless_body_ends_in_time",
 			test_endless_body_ends_in_time);
 	g_test_add_func("/gwy/endless_body_ends_with_its_caller",
