--- a/src/fed_node.c
+++ b/src/fed_node.c
@@ -8,7 +8,7 @@
 {
 	fed->lease_running = false;
 	fed->lease_next_us = fs_now_us() +
-			     (err ? FED_RETRY_MAX_US : FED_KEEP_US) +
+			     (err ? FED_RETRY_MAX_US : FED_LEASE_RENEW_US) +
 			     fed_random(fed, FED_RETRY_MAX_US);
 }
 
@@ -96,13 +96,14 @@
 		if (fed->lease)
 			kvs->ops->keep(kvs->store, fed->lease, on_kept, fed);
 		else
-			kvs->ops->lease(kvs->store, FED_LEASE_US, on_leased,
+			kvs->ops->lease(kvs->store, FED_LEASE_TTL_US, on_leased,
 					fed);
 	}
 	if (!fed->nodes_running && now_us >= fed->nodes_next_us &&
-	    now_us - fed->started_us > FED_ALONE_US && !others_alive(fed)) {
+	    now_us - fed->started_us > FED_BOOTSTRAP_DELAY_US &&
+	    !others_alive(fed)) {
 		fed->nodes_running = true;
-		fed->nodes_next_us = now_us + FED_LIST_NODES_US;
+		fed->nodes_next_us = now_us + FED_LIST_NODES_INTERVAL_US;
 		kvs->ops->range(kvs->store, fed->platform.node_prefix, NULL,
 				on_nodes, fed);
 	}
--- a/src/fed_read.c
+++ b/src/fed_read.c
@@ -20,7 +20,7 @@
 	return delay_us / 2 + fed_random(fed, delay_us / 2);
 }
 
-static void call_failed(struct fed_loop *loop, int err, int64_t now_us)
+static void call_failed(struct fed_watcher *loop, int err, int64_t now_us)
 {
 	struct fed *fed = loop->fed;
 
@@ -40,23 +40,23 @@
 		note_away(fed, true, err);
 }
 
-static void call_answered(struct fed_loop *loop, int64_t now_us)
+static void call_answered(struct fed_watcher *loop, int64_t now_us)
 {
 	struct fed *fed = loop->fed;
 
-	int64_t known_us = MAX(fed->heard_us, loop->answered_us);
+	int64_t known_us = MAX(fed->last_rx_us, loop->answered_us);
 
 	/* Nothing is known of the store since then: it may have been away, and
 	 * entries may have lapsed meanwhile. */
-	if (fed->directory_known && now_us - known_us > FED_UNKNOWN_US)
-		loop->grace_until_us = now_us + FED_GRACE_US;
+	if (fed->directory_known && now_us - known_us > FED_STORE_GAP_US)
+		loop->grace_until_us = now_us + FED_REMOVAL_GRACE_US;
 	if (!loop->config)
 		note_away(fed, false, 0);
 	loop->failed = 0;
 	loop->answered_us = now_us;
 }
 
-static void take_target(struct fed_loop *loop, const struct kvs_item *item,
+static void take_target(struct fed_watcher *loop, const struct kvs_item *item,
 			int64_t now_us)
 {
 	struct fed *fed = loop->fed;
@@ -74,10 +74,10 @@
 		return;
 	}
 	if (dir_put(fed->dir, &entry, now_us))
-		fed_tell_entry(fed, &entry);
+		fed_queue_entry(fed, &entry);
 }
 
-static void take_item(struct fed_loop *loop, const struct kvs_item *item,
+static void take_item(struct fed_watcher *loop, const struct kvs_item *item,
 		      int64_t now_us)
 {
 	struct fed *fed = loop->fed;
@@ -87,12 +87,12 @@
 	if (!loop->config)
 		take_target(loop, item, now_us);
 	else if (!item->gone && !strcmp(item->key, fed->platform.config_key))
-		fed_take_config(fed, item->value, item->size, "store", now_us);
+		fed_apply_config(fed, item->value, item->size, "store", now_us);
 }
 
 static void on_watched(void *arg, int err, const struct kvs_page *page)
 {
-	struct fed_loop *loop = arg;
+	struct fed_watcher *loop = arg;
 	int64_t now_us = fs_now_us();
 
 	loop->running = false;
@@ -109,7 +109,7 @@
 
 static void on_listed(void *arg, int err, const struct kvs_page *page);
 
-static void begin_call(struct fed_loop *loop)
+static void begin_call(struct fed_watcher *loop)
 {
 	struct fed *fed = loop->fed;
 	struct kvs *kvs = &fed->platform.kvs;
@@ -117,8 +117,8 @@
 	loop->running = true;
 	if (loop->listed) {
 		kvs->ops->watch(kvs->store, loop->prefix, loop->from_rev,
-				loop->config ? FED_CONFIG_WAIT_US :
-					       FED_TARGET_WAIT_US,
+				loop->config ? FED_CONFIG_LONG_POLL_US :
+					       FED_TARGET_LONG_POLL_US,
 				on_watched, loop);
 		return;
 	}
@@ -130,7 +130,7 @@
 
 static void on_listed(void *arg, int err, const struct kvs_page *page)
 {
-	struct fed_loop *loop = arg;
+	struct fed_watcher *loop = arg;
 	int64_t now_us = fs_now_us();
 
 	loop->running = false;
@@ -166,13 +166,13 @@
 	fed_check_ready(loop->fed);
 }
 
-static void loop_tick(struct fed_loop *loop, int64_t now_us)
+static void loop_tick(struct fed_watcher *loop, int64_t now_us)
 {
 	if (loop->fed->reading && !loop->running && now_us >= loop->next_us)
 		begin_call(loop);
 }
 
-static void stop_reading(struct fed_loop *loop)
+static void stop_reading(struct fed_watcher *loop)
 {
 	struct kvs *kvs = &loop->fed->platform.kvs;
 
--- a/src/fed_tell.c
+++ b/src/fed_tell.c
@@ -11,7 +11,7 @@
 	return fed->changes;
 }
 
-void fed_tell_entry(struct fed *fed, const struct dir_entry *entry)
+void fed_queue_entry(struct fed *fed, const struct dir_entry *entry)
 {
 	fs_log_eventf("fed", G_LOG_LEVEL_INFO, "target",
 		      "\"target\":\"%s\",\"service\":\"%s\",\"address\":\"%s\","
@@ -26,7 +26,7 @@
 				   *entry);
 }
 
-void fed_tell_gone(void *arg, const struct dir_target *target, uint64_t rev)
+void fed_queue_removal(void *arg, const struct dir_target *target, uint64_t rev)
 {
 	struct fed *fed = arg;
 	struct msg_removed removed = {.rev = rev};
@@ -67,7 +67,7 @@
 	m->feed_beat.fresh = fed->targets.listed &&
 			     now_us - fed->targets.answered_us < FED_FRESH_US &&
 			     now_us - fed->config.answered_us <
-				     FED_FRESH_US + FED_CONFIG_WAIT_US;
+				     FED_FRESH_US + FED_CONFIG_LONG_POLL_US;
 	bus_send(fed->node->bus, m);
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-void fed_tell_tick(struct fed *fed, int64_t now_us)
+void fed_broadcast_tick(struct fed *fed, int64_t now_us)
 {
 	if (fed->chosen && fed->changes)
 		tell_domain(fed);
@@ -98,32 +98,32 @@
 {
 	/* Changes under way explain a digest that differs for a moment. */
 	if (beat->digest == dir_digest(fed->dir) ||
-	    now_us - fed->changed_us < FED_ASK_US ||
-	    now_us - fed->asked_us < FED_ASK_US)
+	    now_us - fed->changed_us < FED_QUERY_INTERVAL_US ||
+	    now_us - fed->asked_us < FED_QUERY_INTERVAL_US)
 		return;
 	fed->asked_us = now_us;
 	bus_send(fed->node->bus,
 		 msg_new(MSG_FEED_ASK, beat->reader, MSG_TASK_CONFIG));
 }
 
-void fed_tell_beat(struct fed *fed, const struct msg *m, int64_t now_us)
+void fed_receive_heartbeat(struct fed *fed, const struct msg *m, int64_t now_us)
 {
 	const struct msg_feed_beat *beat = &m->feed_beat;
 
 	if (!beat->fresh)
 		return;
-	fed->heard_us = now_us;
+	fed->last_rx_us = now_us;
 	if (beat->local)
 		fed->local_us = now_us;
-	if (!beat->local && now_us - fed->local_us < FED_DEAF_US)
+	if (!beat->local && now_us - fed->local_us < FED_READER_TIMEOUT_US)
 		return;
-	fed_ask_config(fed, beat->reader, beat->config_version, now_us);
+	fed_request_config(fed, beat->reader, beat->config_version, now_us);
 	/* A node that reads has the list itself. */
 	if (!fed->reading || !fed->targets.listed)
 		ask_entries(fed, beat, now_us);
 }
 
-void fed_tell_entries(struct fed *fed, const struct msg *m, int64_t now_us)
+void fed_merge_entries(struct fed *fed, const struct msg *m, int64_t now_us)
 {
 	const GArray *entries = m->feed_entries.entries;
 	const GArray *removed = m->feed_entries.removed;
@@ -136,7 +136,7 @@
 			&g_array_index(entries, struct dir_entry, i);
 
 		if (dir_put(fed->dir, entry, now_us))
-			fed_tell_entry(fed, entry);
+			fed_queue_entry(fed, entry);
 	}
 	for (guint i = 0; i < removed->len; i++) {
 		const struct msg_removed *r =
@@ -176,7 +176,8 @@
 	g_array_append_val(whole->m->feed_entries.removed, removed);
 }
 
-void fed_tell_asked(struct fed *fed, const struct msg *ask, int64_t now_us)
+void fed_send_all_entries(struct fed *fed, const struct msg *ask,
+			  int64_t now_us)
 {
 	struct whole whole = {
 		.m = msg_new(MSG_FEED_ENTRIES, ask->from, MSG_TASK_CONFIG),
--- a/src/lod_hub.c
+++ b/src/lod_hub.c
@@ -76,7 +76,7 @@
 		return;
 	peer->incarnation = packet->incarnation;
 	peer->serial = packet->serial;
-	peer->heard_us = now_us;
+	peer->last_rx_us = now_us;
 	g_hash_table_remove_all(peer->counts);
 	for (guint i = 0; i < packet->counts->len; i++) {
 		const struct lod_target_count *c = &g_array_index(
@@ -132,7 +132,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct lod_peer *peer = value;
 
-		if (now_us - peer->heard_us > LOD_COUNT_EXPIRY_US)
+		if (now_us - peer->last_rx_us > LOD_COUNT_EXPIRY_US)
 			g_hash_table_iter_remove(&iter);
 		else
 			add_counts(totals, peer->counts);
