--- a/src/cnf_leaving.c
+++ b/src/cnf_leaving.c
@@ -7,7 +7,7 @@
 /** The list of one poller. */
 struct poller {
 	node_id id;
-	int64_t heard_us;
+	int64_t last_rx_us;
 	GPtrArray *servers;
 };
 
@@ -60,7 +60,7 @@
 {
 	struct poller *poller = find_poller(leaving, poller_id);
 
-	poller->heard_us = now_us;
+	poller->last_rx_us = now_us;
 	g_ptr_array_set_size(poller->servers, 0);
 	for (guint i = 0; servers && i < servers->len; i++)
 		g_ptr_array_add(poller->servers,
@@ -76,14 +76,14 @@
 		const struct poller *poller =
 			g_ptr_array_index(leaving->pollers, i);
 
-		newest_us = MAX(newest_us, poller->heard_us);
+		newest_us = MAX(newest_us, poller->last_rx_us);
 	}
 	newest_us = MIN(newest_us, now_us);
 	for (guint i = leaving->pollers->len; i > 0; i--) {
 		const struct poller *poller =
 			g_ptr_array_index(leaving->pollers, i - 1);
 
-		if (newest_us - poller->heard_us > CNF_LIST_LAPSE_US)
+		if (newest_us - poller->last_rx_us > CNF_LIST_LAPSE_US)
 			g_ptr_array_remove_index(leaving->pollers, i - 1);
 	}
 }
--- a/src/crl.c
+++ b/src/crl.c
@@ -183,7 +183,7 @@
 		curl_multi_remove_handle(crl->multi, easy);
 }
 
-void crl_kick(struct crl *crl)
+void crl_wake(struct crl *crl)
 {
 	ev_timer_stop(crl->loop, &crl->timer);
 	ev_timer_set(&crl->timer, 0.0, 0.0);
--- a/src/crl.h
+++ b/src/crl.h
@@ -37,6 +37,6 @@
 void crl_stop(struct crl *crl, CURL *easy);
 
 /** Makes libcurl look at a transfer again after curl_easy_pause(). */
-void crl_kick(struct crl *crl);
+void crl_wake(struct crl *crl);
 
 #endif
--- a/src/fed.c
+++ b/src/fed.c
@@ -7,8 +7,8 @@
 	return (int64_t)(fs_random(&fed->random) % (uint64_t)limit);
 }
 
-void fed_take_config(struct fed *fed, const char *text, size_t size,
-		     const char *source, int64_t now_us)
+void fed_apply_config(struct fed *fed, const char *text, size_t size,
+		      const char *source, int64_t now_us)
 {
 	uint64_t known = fed->cfg ? fed->cfg->version : 0;
 	struct cfg *cfg = fed->platform.decode_config(text, size);
@@ -63,28 +63,29 @@
 	return first[0] == node->self;
 }
 
-static void choose(struct fed *fed, int64_t now_us)
+static void update_reading(struct fed *fed, int64_t now_us)
 {
 	bool was = fed->reading;
 	/* Who has begun goes on until a reader is heard. */
-	bool deaf = now_us - fed->heard_us > FED_DEAF_US &&
-		    (was || now_us - fed->listed_us > FED_LISTED_US);
+	bool no_reader = now_us - fed->last_rx_us > FED_READER_TIMEOUT_US &&
+			 (was || now_us - fed->listed_us > FED_LIST_FRESH_US);
 
-	if (deaf)
-		fed->deaf_us = now_us;
+	if (no_reader)
+		fed->no_reader_us = now_us;
 	if (is_chosen(fed, now_us))
 		fed->chosen_us = now_us;
 	fed->chosen = fed->chosen_us && !fed->node->stopping &&
 		      now_us - fed->chosen_us < FED_HANDOVER_US;
-	fed->reading = fed->chosen || deaf ||
-		       (was && now_us - fed->deaf_us < FED_CALM_US);
+	fed->reading =
+		fed->chosen || no_reader ||
+		(was && now_us - fed->no_reader_us < FED_READ_HYSTERESIS_US);
 	if (was != fed->reading)
 		fs_log_eventf(
 			"fed", G_LOG_LEVEL_INFO, "reading",
 			"\"on\":%s,\"chosen\":%s,\"heard_ms_ago\":%lld",
 			fed->reading ? "true" : "false",
 			fed->chosen ? "true" : "false",
-			(long long)((now_us - fed->heard_us) / FS_US_PER_MS));
+			(long long)((now_us - fed->last_rx_us) / FS_US_PER_MS));
 }
 
 void fed_check_ready(struct fed *fed)
@@ -101,22 +102,22 @@
 {
 	struct fed *fed = task;
 
-	choose(fed, now_us);
+	update_reading(fed, now_us);
 	fed_read_tick(fed, now_us);
-	fed_tell_tick(fed, now_us);
+	fed_broadcast_tick(fed, now_us);
 	fed_node_tick(fed, now_us);
 	fed_check_ready(fed);
 }
 
-void fed_ask_config(struct fed *fed, node_id peer, uint64_t version,
-		    int64_t now_us)
+void fed_request_config(struct fed *fed, node_id peer, uint64_t version,
+			int64_t now_us)
 {
 	struct msg *m;
 
 	if ((fed->cfg && version <= fed->cfg->version) ||
-	    now_us - fed->asked_config_us < FED_ASK_US)
+	    now_us - fed->config_queried_us < FED_QUERY_INTERVAL_US)
 		return;
-	fed->asked_config_us = now_us;
+	fed->config_queried_us = now_us;
 	m = msg_new(MSG_CONFIG_ASK, peer, MSG_TASK_CONFIG);
 	m->config_ask.known = fed->cfg ? fed->cfg->version : 0;
 	bus_send(fed->node->bus, m);
@@ -145,27 +146,27 @@
 		break;
 	case MSG_CONFIG_HINT:
 		/* The reader of this domain has it as well, or soon. */
-		if (now_us - fed->local_us > FED_DEAF_US)
-			fed_ask_config(fed, m->config_hint.node,
-				       m->config_hint.version, now_us);
+		if (now_us - fed->local_rx_us > FED_READER_TIMEOUT_US)
+			fed_request_config(fed, m->config_hint.node,
+					   m->config_hint.version, now_us);
 		break;
 	case MSG_CONFIG_ASK:
 		send_config(fed, m);
 		break;
 	case MSG_CONFIG_TEXT:
 		if (m->config_text.text)
-			fed_take_config(fed, m->config_text.text,
-					strlen(m->config_text.text), "peer",
-					now_us);
+			fed_apply_config(fed, m->config_text.text,
+					 strlen(m->config_text.text), "peer",
+					 now_us);
 		break;
 	case MSG_FEED_BEAT:
-		fed_tell_beat(fed, m, now_us);
+		fed_receive_heartbeat(fed, m, now_us);
 		break;
 	case MSG_FEED_ENTRIES:
-		fed_tell_entries(fed, m, now_us);
+		fed_merge_entries(fed, m, now_us);
 		break;
 	case MSG_FEED_ASK:
-		fed_tell_asked(fed, m, now_us);
+		fed_send_all_entries(fed, m, now_us);
 		break;
 	default:
 		break;
@@ -188,8 +189,8 @@
 		"\"heard_ms_ago\":%lld,\"calls\":%" G_GUINT64_FORMAT "}",
 		fed->cfg ? fed->cfg->version : 0, dir_count(fed->dir),
 		fed->reading ? "true" : "false", fed->chosen ? "true" : "false",
-		fed->away ? "true" : "false",
-		(long long)((now_us - fed->heard_us) / FS_US_PER_MS),
+		fed->store_lost ? "true" : "false",
+		(long long)((now_us - fed->last_rx_us) / FS_US_PER_MS),
 		fed->platform.kvs.ops->calls(fed->platform.kvs.store));
 }
 
@@ -205,10 +206,10 @@
 	fed->random = node->self ^ node->incarnation;
 	fed->started_us = now_us;
 	/* Reads at once: nobody has been heard yet. */
-	fed->heard_us = fed->local_us = fed->listed_us =
-		now_us - 2 * FED_DEAF_US;
+	fed->last_rx_us = fed->local_rx_us = fed->listed_us =
+		now_us - 2 * FED_READER_TIMEOUT_US;
 	fed_read_init(fed);
-	dir_on_gone(dir, fed_tell_gone, fed);
+	dir_on_gone(dir, fed_queue_removal, fed);
 	bus_attach(node->bus, MSG_TASK_CONFIG, &ops, fed);
 	node_add_status(node, "feed", write_status, fed);
 	node_add_tick(node, on_tick, fed);
@@ -223,9 +224,9 @@
 		return;
 	kvs = &fed->platform.kvs;
 	dir_on_gone(fed->dir, NULL, NULL);
-	kvs->ops->forget(kvs->store, &fed->targets);
-	kvs->ops->forget(kvs->store, &fed->config);
-	kvs->ops->forget(kvs->store, fed);
+	kvs->ops->cancel(kvs->store, &fed->targets);
+	kvs->ops->cancel(kvs->store, &fed->config);
+	kvs->ops->cancel(kvs->store, fed);
 	node_remove_tick(fed->node, fed);
 	msg_free(fed->changes);
 	g_free(fed->targets.page_after);
--- a/src/fed.h
+++ b/src/fed.h
@@ -7,7 +7,7 @@
  * weight among those that live, which is also the hub of the load exchange. It
  * tells the others of its domain of changes over links. How fresh it is goes
  * with the digests of that exchange, several times a second and to all. A node
- * that hears of no fresh reader for FED_DEAF_US reads for itself until it does.
+ * that hears of no fresh reader for FED_READER_TIMEOUT_US reads for itself until it does.
  * So no node has to be elected or replaced, a lost reader costs nothing, and a
  * node that the service turns away still learns from its peers; from those of
  * another domain only if its own has no fresh reader, as bytes between domains
--- a/src/fed_node.c
+++ b/src/fed_node.c
@@ -4,11 +4,11 @@
 
 #include "fs_log.h"
 
-static void next_keep(struct fed *fed, int err)
+static void schedule_renewal(struct fed *fed, int err)
 {
 	fed->lease_running = false;
 	fed->lease_next_us = fs_now_us() +
-			     (err ? FED_RETRY_MAX_US : FED_KEEP_US) +
+			     (err ? FED_RETRY_MAX_US : FED_LEASE_RENEW_US) +
 			     fed_random(fed, FED_RETRY_MAX_US);
 }
 
@@ -19,10 +19,10 @@
 	(void)lease;
 	if (err)
 		fed->lease = 0;
-	next_keep(fed, err);
+	schedule_renewal(fed, err);
 }
 
-static void on_leased(void *arg, int err, uint64_t lease)
+static void on_lease_granted(void *arg, int err, uint64_t lease)
 {
 	struct fed *fed = arg;
 	struct kvs *kvs = &fed->platform.kvs;
@@ -30,7 +30,7 @@
 	char address[FS_ADDRESS_MAX];
 
 	if (err) {
-		next_keep(fed, err);
+		schedule_renewal(fed, err);
 		return;
 	}
 	fed->lease = lease;
@@ -40,14 +40,14 @@
 	kvs->ops->put(kvs->store, key, address, lease, on_put, fed);
 }
 
-static void on_kept(void *arg, int err, uint64_t lease)
+static void on_renewed(void *arg, int err, uint64_t lease)
 {
 	struct fed *fed = arg;
 
 	(void)lease;
 	if (err == FS_E_NOT_FOUND)
 		fed->lease = 0;
-	next_keep(fed, err);
+	schedule_renewal(fed, err);
 }
 
 /* Gives the membership task the addresses of all nodes as contacts. */
@@ -74,7 +74,7 @@
 	bus_send(fed->node->bus, m);
 }
 
-static uint32_t others_alive(const struct fed *fed)
+static uint32_t peers_alive(const struct fed *fed)
 {
 	uint32_t n = 0;
 
@@ -94,15 +94,17 @@
 	    now_us >= fed->lease_next_us) {
 		fed->lease_running = true;
 		if (fed->lease)
-			kvs->ops->keep(kvs->store, fed->lease, on_kept, fed);
-		else
-			kvs->ops->lease(kvs->store, FED_LEASE_US, on_leased,
+			kvs->ops->renew(kvs->store, fed->lease, on_renewed,
 					fed);
+		else
+			kvs->ops->lease(kvs->store, FED_LEASE_TTL_US,
+					on_lease_granted, fed);
 	}
 	if (!fed->nodes_running && now_us >= fed->nodes_next_us &&
-	    now_us - fed->started_us > FED_ALONE_US && !others_alive(fed)) {
+	    now_us - fed->started_us > FED_BOOTSTRAP_DELAY_US &&
+	    !peers_alive(fed)) {
 		fed->nodes_running = true;
-		fed->nodes_next_us = now_us + FED_LIST_NODES_US;
+		fed->nodes_next_us = now_us + FED_LIST_NODES_INTERVAL_US;
 		kvs->ops->range(kvs->store, fed->platform.node_prefix, NULL,
 				on_nodes, fed);
 	}
--- a/src/fed_read.c
+++ b/src/fed_read.c
@@ -2,69 +2,69 @@
 
 #include "fs_log.h"
 
-static void note_away(struct fed *fed, bool away, int err)
+static void set_store_lost(struct fed *fed, bool lost, int err)
 {
-	if (fed->away == away)
+	if (fed->store_lost == lost)
 		return;
-	fed->away = away;
-	fs_log_eventf("fed", away ? G_LOG_LEVEL_WARNING : G_LOG_LEVEL_MESSAGE,
-		      away ? "store_lost" : "store_regained",
+	fed->store_lost = lost;
+	fs_log_eventf("fed", lost ? G_LOG_LEVEL_WARNING : G_LOG_LEVEL_MESSAGE,
+		      lost ? "store_lost" : "store_regained",
 		      "\"reason\":\"%s\"", fs_err_name(err));
 }
 
-static int64_t retry_us(struct fed *fed, uint32_t failed)
+static int64_t retry_us(struct fed *fed, uint32_t failures)
 {
-	int64_t delay_us = FED_RETRY_MIN_US << MIN(failed, 4U);
+	int64_t delay_us = FED_RETRY_MIN_US << MIN(failures, 4U);
 
 	delay_us = MIN(delay_us, FED_RETRY_MAX_US);
 	return delay_us / 2 + fed_random(fed, delay_us / 2);
 }
 
-static void call_failed(struct fed_loop *loop, int err, int64_t now_us)
+static void call_failed(struct fed_watcher *watcher, int err, int64_t now_us)
 {
-	struct fed *fed = loop->fed;
+	struct fed *fed = watcher->fed;
 
-	loop->failed++;
-	loop->next_us = now_us + retry_us(fed, loop->failed);
+	watcher->failures++;
+	watcher->next_us = now_us + retry_us(fed, watcher->failures);
 	if (err == FS_E_STALE) {
 		/* History was dropped: the list tells all there is. */
 		fs_log_eventf("fed", G_LOG_LEVEL_INFO, "history_lost",
 			      "\"prefix\":\"%s\",\"rev\":%" G_GUINT64_FORMAT,
-			      loop->prefix, loop->from_rev);
-		loop->listed = false;
-		loop->next_us = now_us;
-		loop->failed = 0;
+			      watcher->prefix, watcher->from_rev);
+		watcher->listed = false;
+		watcher->next_us = now_us;
+		watcher->failures = 0;
 		return;
 	}
-	if (loop->failed >= 2 && !loop->config)
-		note_away(fed, true, err);
+	if (watcher->failures >= 2 && !watcher->is_config)
+		set_store_lost(fed, true, err);
 }
 
-static void call_answered(struct fed_loop *loop, int64_t now_us)
+static void call_answered(struct fed_watcher *watcher, int64_t now_us)
 {
-	struct fed *fed = loop->fed;
+	struct fed *fed = watcher->fed;
 
-	int64_t known_us = MAX(fed->heard_us, loop->answered_us);
+	int64_t known_us = MAX(fed->last_rx_us, watcher->answered_us);
 
 	/* Nothing is known of the store since then: it may have been away, and
 	 * entries may have lapsed meanwhile. */
-	if (fed->directory_known && now_us - known_us > FED_UNKNOWN_US)
-		loop->grace_until_us = now_us + FED_GRACE_US;
-	if (!loop->config)
-		note_away(fed, false, 0);
-	loop->failed = 0;
-	loop->answered_us = now_us;
+	if (fed->directory_known && now_us - known_us > FED_STORE_GAP_US)
+		watcher->grace_until_us = now_us + FED_REMOVAL_GRACE_US;
+	if (!watcher->is_config)
+		set_store_lost(fed, false, 0);
+	watcher->failures = 0;
+	watcher->answered_us = now_us;
 }
 
-static void take_target(struct fed_loop *loop, const struct kvs_item *item,
-			int64_t now_us)
+static void apply_target(struct fed_watcher *watcher,
+			 const struct kvs_item *item, int64_t now_us)
 {
-	struct fed *fed = loop->fed;
-	const char *id = item->key + strlen(loop->prefix);
+	struct fed *fed = watcher->fed;
+	const char *id = item->key + strlen(watcher->prefix);
 	struct dir_entry entry = {0};
 
-	if (item->gone) {
-		dir_remove(fed->dir, id, item->rev, loop->grace_until_us,
+	if (item->removed) {
+		dir_remove(fed->dir, id, item->rev, watcher->grace_until_us,
 			   now_us);
 		return;
 	}
@@ -74,115 +74,117 @@
 		return;
 	}
 	if (dir_put(fed->dir, &entry, now_us))
-		fed_tell_entry(fed, &entry);
+		fed_queue_entry(fed, &entry);
 }
 
-static void take_item(struct fed_loop *loop, const struct kvs_item *item,
-		      int64_t now_us)
+static void apply_item(struct fed_watcher *watcher, const struct kvs_item *item,
+		       int64_t now_us)
 {
-	struct fed *fed = loop->fed;
+	struct fed *fed = watcher->fed;
 
-	if (!g_str_has_prefix(item->key, loop->prefix))
+	if (!g_str_has_prefix(item->key, watcher->prefix))
 		return;
-	if (!loop->config)
-		take_target(loop, item, now_us);
-	else if (!item->gone && !strcmp(item->key, fed->platform.config_key))
-		fed_take_config(fed, item->value, item->size, "store", now_us);
+	if (!watcher->is_config)
+		apply_target(watcher, item, now_us);
+	else if (!item->removed && !strcmp(item->key, fed->platform.config_key))
+		fed_apply_config(fed, item->value, item->size, "store", now_us);
 }
 
 static void on_watched(void *arg, int err, const struct kvs_page *page)
 {
-	struct fed_loop *loop = arg;
+	struct fed_watcher *watcher = arg;
 	int64_t now_us = fs_now_us();
 
-	loop->running = false;
+	watcher->running = false;
 	if (err) {
-		call_failed(loop, err, now_us);
+		call_failed(watcher, err, now_us);
 		return;
 	}
-	call_answered(loop, now_us);
+	call_answered(watcher, now_us);
 	for (uint32_t i = 0; i < page->count; i++)
-		take_item(loop, &page->items[i], now_us);
-	loop->from_rev = MAX(loop->from_rev, page->at_rev);
-	loop->next_us = now_us + (loop->config ? 0 : FED_TARGET_PAUSE_US);
+		apply_item(watcher, &page->items[i], now_us);
+	watcher->from_rev = MAX(watcher->from_rev, page->at_rev);
+	watcher->next_us =
+		now_us + (watcher->is_config ? 0 : FED_TARGET_PAUSE_US);
 }
 
 static void on_listed(void *arg, int err, const struct kvs_page *page);
 
-static void begin_call(struct fed_loop *loop)
+static void begin_call(struct fed_watcher *watcher)
 {
-	struct fed *fed = loop->fed;
+	struct fed *fed = watcher->fed;
 	struct kvs *kvs = &fed->platform.kvs;
 
-	loop->running = true;
-	if (loop->listed) {
-		kvs->ops->watch(kvs->store, loop->prefix, loop->from_rev,
-				loop->config ? FED_CONFIG_WAIT_US :
-					       FED_TARGET_WAIT_US,
-				on_watched, loop);
+	watcher->running = true;
+	if (watcher->listed) {
+		kvs->ops->watch(kvs->store, watcher->prefix, watcher->from_rev,
+				watcher->is_config ? FED_CONFIG_LONG_POLL_US :
+						     FED_TARGET_LONG_POLL_US,
+				on_watched, watcher);
 		return;
 	}
-	if (!loop->page_after && !loop->config)
+	if (!watcher->page_after && !watcher->is_config)
 		dir_list_begin(fed->dir);
-	kvs->ops->range(kvs->store, loop->prefix, loop->page_after, on_listed,
-			loop);
+	kvs->ops->range(kvs->store, watcher->prefix, watcher->page_after,
+			on_listed, watcher);
 }
 
 static void on_listed(void *arg, int err, const struct kvs_page *page)
 {
-	struct fed_loop *loop = arg;
+	struct fed_watcher *watcher = arg;
 	int64_t now_us = fs_now_us();
 
-	loop->running = false;
+	watcher->running = false;
 	if (err) {
-		call_failed(loop, err, now_us);
+		call_failed(watcher, err, now_us);
 		return;
 	}
-	call_answered(loop, now_us);
-	if (!loop->page_after)
-		loop->list_rev = page->at_rev;
+	call_answered(watcher, now_us);
+	if (!watcher->page_after)
+		watcher->list_rev = page->at_rev;
 	for (uint32_t i = 0; i < page->count; i++)
-		take_item(loop, &page->items[i], now_us);
-	loop->next_us = now_us;
+		apply_item(watcher, &page->items[i], now_us);
+	watcher->next_us = now_us;
 	if (page->more && page->count) {
 		const char *last = page->items[page->count - 1].key;
 
-		g_free(loop->page_after);
-		loop->page_after = g_strdup(last);
+		g_free(watcher->page_after);
+		watcher->page_after = g_strdup(last);
 		/* At once: a long list must not wait for a tick a page. */
-		begin_call(loop);
+		begin_call(watcher);
 		return;
 	}
-	g_clear_pointer(&loop->page_after, g_free);
-	if (!loop->config) {
-		dir_list_end(loop->fed->dir, loop->list_rev,
-			     loop->grace_until_us, now_us);
-		loop->fed->directory_known = true;
+	g_clear_pointer(&watcher->page_after, g_free);
+	if (!watcher->is_config) {
+		dir_list_end(watcher->fed->dir, watcher->list_rev,
+			     watcher->grace_until_us, now_us);
+		watcher->fed->directory_known = true;
 	}
-	loop->listed = true;
-	if (loop->fed->targets.listed && loop->fed->config.listed)
-		loop->fed->listed_us = now_us;
-	loop->from_rev = loop->list_rev;
-	fed_check_ready(loop->fed);
+	watcher->listed = true;
+	if (watcher->fed->targets.listed && watcher->fed->config.listed)
+		watcher->fed->listed_us = now_us;
+	watcher->from_rev = watcher->list_rev;
+	fed_check_ready(watcher->fed);
 }
 
-static void loop_tick(struct fed_loop *loop, int64_t now_us)
+static void watcher_tick(struct fed_watcher *watcher, int64_t now_us)
 {
-	if (loop->fed->reading && !loop->running && now_us >= loop->next_us)
-		begin_call(loop);
+	if (watcher->fed->reading && !watcher->running &&
+	    now_us >= watcher->next_us)
+		begin_call(watcher);
 }
 
-static void stop_reading(struct fed_loop *loop)
+static void stop_reading(struct fed_watcher *watcher)
 {
-	struct kvs *kvs = &loop->fed->platform.kvs;
+	struct kvs *kvs = &watcher->fed->platform.kvs;
 
-	if (loop->running)
-		kvs->ops->forget(kvs->store, loop);
-	loop->running = false;
+	if (watcher->running)
+		kvs->ops->cancel(kvs->store, watcher);
+	watcher->running = false;
 	/* What changes meanwhile is only known from peers: list again. */
-	loop->listed = false;
-	g_clear_pointer(&loop->page_after, g_free);
-	loop->failed = 0;
+	watcher->listed = false;
+	g_clear_pointer(&watcher->page_after, g_free);
+	watcher->failures = 0;
 }
 
 void fed_read_tick(struct fed *fed, int64_t now_us)
@@ -193,8 +195,8 @@
 		stop_reading(&fed->config);
 		return;
 	}
-	loop_tick(&fed->targets, now_us);
-	loop_tick(&fed->config, now_us);
+	watcher_tick(&fed->targets, now_us);
+	watcher_tick(&fed->config, now_us);
 }
 
 void fed_read_init(struct fed *fed)
@@ -203,5 +205,5 @@
 	fed->targets.prefix = fed->platform.target_prefix;
 	fed->config.fed = fed;
 	fed->config.prefix = fed->platform.config_prefix;
-	fed->config.config = true;
+	fed->config.is_config = true;
 }
--- a/src/fed_tell.c
+++ b/src/fed_tell.c
@@ -4,14 +4,14 @@
 
 #include "fs_log.h"
 
-static struct msg *changes_of(struct fed *fed)
+static struct msg *pending_changes(struct fed *fed)
 {
 	if (!fed->changes)
 		fed->changes = msg_new(MSG_FEED_ENTRIES, 0, MSG_TASK_CONFIG);
 	return fed->changes;
 }
 
-void fed_tell_entry(struct fed *fed, const struct dir_entry *entry)
+void fed_queue_entry(struct fed *fed, const struct dir_entry *entry)
 {
 	fs_log_eventf("fed", G_LOG_LEVEL_INFO, "target",
 		      "\"target\":\"%s\",\"service\":\"%s\",\"address\":\"%s\","
@@ -22,11 +22,11 @@
 		      fed->merging ? "peer" : "store");
 	fed->changed_us = fs_now_us();
 	if (fed->chosen && !fed->merging)
-		g_array_append_val(changes_of(fed)->feed_entries.entries,
+		g_array_append_val(pending_changes(fed)->feed_entries.entries,
 				   *entry);
 }
 
-void fed_tell_gone(void *arg, const struct dir_target *target, uint64_t rev)
+void fed_queue_removal(void *arg, const struct dir_target *target, uint64_t rev)
 {
 	struct fed *fed = arg;
 	struct msg_removed removed = {.rev = rev};
@@ -41,7 +41,7 @@
 	if (!fed->chosen || fed->merging)
 		return;
 	g_strlcpy(removed.id, target->entry.id, sizeof(removed.id));
-	g_array_append_val(changes_of(fed)->feed_entries.removed, removed);
+	g_array_append_val(pending_changes(fed)->feed_entries.removed, removed);
 }
 
 static struct msg *copy_entries(const struct msg *from, node_id to)
@@ -58,7 +58,7 @@
 }
 
 /* Tells the load exchange, which tells all nodes. */
-static void beat(struct fed *fed, int64_t now_us)
+static void send_heartbeat(struct fed *fed, int64_t now_us)
 {
 	struct msg *m = msg_new(MSG_FEED_BEAT, fed->node->self, MSG_TASK_LOAD);
 
@@ -67,12 +67,12 @@
 	m->feed_beat.fresh = fed->targets.listed &&
 			     now_us - fed->targets.answered_us < FED_FRESH_US &&
 			     now_us - fed->config.answered_us <
-				     FED_FRESH_US + FED_CONFIG_WAIT_US;
+				     FED_FRESH_US + FED_CONFIG_LONG_POLL_US;
 	bus_send(fed->node->bus, m);
 }
 
 /* Other failure domains have readers of their own. */
-static void tell_domain(struct fed *fed)
+static void broadcast_to_domain(struct fed *fed)
 {
 	for (uint32_t i = 0; fed->view && i < fed->view->count; i++) {
 		const struct mem_member *m = &fed->view->members[i];
@@ -84,46 +84,49 @@
 	}
 }
 
-void fed_tell_tick(struct fed *fed, int64_t now_us)
+void fed_broadcast_tick(struct fed *fed, int64_t now_us)
 {
 	if (fed->chosen && fed->changes)
-		tell_domain(fed);
+		broadcast_to_domain(fed);
 	g_clear_pointer(&fed->changes, msg_free);
 	if (fed->chosen)
-		beat(fed, now_us);
+		send_heartbeat(fed, now_us);
 }
 
-static void ask_entries(struct fed *fed, const struct msg_feed_beat *beat,
-			int64_t now_us)
+static void request_entries(struct fed *fed,
+			    const struct msg_feed_beat *heartbeat,
+			    int64_t now_us)
 {
 	/* Changes under way explain a digest that differs for a moment. */
-	if (beat->digest == dir_digest(fed->dir) ||
-	    now_us - fed->changed_us < FED_ASK_US ||
-	    now_us - fed->asked_us < FED_ASK_US)
+	if (heartbeat->digest == dir_digest(fed->dir) ||
+	    now_us - fed->changed_us < FED_QUERY_INTERVAL_US ||
+	    now_us - fed->queried_us < FED_QUERY_INTERVAL_US)
 		return;
-	fed->asked_us = now_us;
+	fed->queried_us = now_us;
 	bus_send(fed->node->bus,
-		 msg_new(MSG_FEED_ASK, beat->reader, MSG_TASK_CONFIG));
+		 msg_new(MSG_FEED_ASK, heartbeat->reader, MSG_TASK_CONFIG));
 }
 
-void fed_tell_beat(struct fed *fed, const struct msg *m, int64_t now_us)
+void fed_receive_heartbeat(struct fed *fed, const struct msg *m, int64_t now_us)
 {
-	const struct msg_feed_beat *beat = &m->feed_beat;
+	const struct msg_feed_beat *heartbeat = &m->feed_beat;
 
-	if (!beat->fresh)
+	if (!heartbeat->fresh)
 		return;
-	fed->heard_us = now_us;
-	if (beat->local)
-		fed->local_us = now_us;
-	if (!beat->local && now_us - fed->local_us < FED_DEAF_US)
+	fed->last_rx_us = now_us;
+	if (heartbeat->local)
+		fed->local_rx_us = now_us;
+	if (!heartbeat->local &&
+	    now_us - fed->local_rx_us < FED_READER_TIMEOUT_US)
 		return;
-	fed_ask_config(fed, beat->reader, beat->config_version, now_us);
+	fed_request_config(fed, heartbeat->reader, heartbeat->config_version,
+			   now_us);
 	/* A node that reads has the list itself. */
 	if (!fed->reading || !fed->targets.listed)
-		ask_entries(fed, beat, now_us);
+		request_entries(fed, heartbeat, now_us);
 }
 
-void fed_tell_entries(struct fed *fed, const struct msg *m, int64_t now_us)
+void fed_merge_entries(struct fed *fed, const struct msg *m, int64_t now_us)
 {
 	const GArray *entries = m->feed_entries.entries;
 	const GArray *removed = m->feed_entries.removed;
@@ -136,7 +139,7 @@
 			&g_array_index(entries, struct dir_entry, i);
 
 		if (dir_put(fed->dir, entry, now_us))
-			fed_tell_entry(fed, entry);
+			fed_queue_entry(fed, entry);
 	}
 	for (guint i = 0; i < removed->len; i++) {
 		const struct msg_removed *r =
@@ -152,40 +155,41 @@
 		fed->directory_known = true;
 }
 
-/** What a whole answer is made of. */
-struct whole {
+/** What a full answer is made of. */
+struct full_sync {
 	struct msg *m;
 	int64_t now_us;
 };
 
 static void add_target(void *arg, const struct dir_target *target)
 {
-	struct whole *whole = arg;
+	struct full_sync *full = arg;
 	struct dir_entry entry = target->entry;
 
-	entry.cold_us = MAX(target->warm_us - whole->now_us, 0);
-	g_array_append_val(whole->m->feed_entries.entries, entry);
+	entry.cold_us = MAX(target->warm_us - full->now_us, 0);
+	g_array_append_val(full->m->feed_entries.entries, entry);
 }
 
 static void add_removed(void *arg, const char *id, uint64_t rev)
 {
-	struct whole *whole = arg;
+	struct full_sync *full = arg;
 	struct msg_removed removed = {.rev = rev};
 
 	g_strlcpy(removed.id, id, sizeof(removed.id));
-	g_array_append_val(whole->m->feed_entries.removed, removed);
+	g_array_append_val(full->m->feed_entries.removed, removed);
 }
 
-void fed_tell_asked(struct fed *fed, const struct msg *ask, int64_t now_us)
+void fed_send_all_entries(struct fed *fed, const struct msg *ask,
+			  int64_t now_us)
 {
-	struct whole whole = {
+	struct full_sync full = {
 		.m = msg_new(MSG_FEED_ENTRIES, ask->from, MSG_TASK_CONFIG),
 		.now_us = now_us,
 	};
 
 	if (fed->targets.listed)
-		whole.m->feed_entries.whole_rev = fed->targets.from_rev;
-	dir_each(fed->dir, add_target, &whole);
-	dir_each_removed(fed->dir, add_removed, &whole);
-	bus_send(fed->node->bus, whole.m);
+		full.m->feed_entries.whole_rev = fed->targets.from_rev;
+	dir_each(fed->dir, add_target, &full);
+	dir_each_removed(fed->dir, add_removed, &full);
+	bus_send(fed->node->bus, full.m);
 }
--- a/src/kvs.h
+++ b/src/kvs.h
@@ -23,7 +23,7 @@
 	const char *value; /* NUL-terminated as well */
 	size_t size;
 	uint64_t rev; /* of its last change */
-	bool gone;    /* removed at that revision; no value */
+	bool removed; /* removed at that revision; no value */
 };
 
 /** What a read or a watch gives; valid during the call of its function. */
@@ -52,12 +52,13 @@
 	void (*lease)(void *store, int64_t ttl_us, kvs_write_fn done,
 		      void *arg);
 	/** Renews a lease; FS_E_NOT_FOUND if it has ended. */
-	void (*keep)(void *store, uint64_t lease, kvs_write_fn done, void *arg);
+	void (*renew)(void *store, uint64_t lease, kvs_write_fn done,
+		      void *arg);
 	/** Writes a key that goes with the lease. */
 	void (*put)(void *store, const char *key, const char *value,
 		    uint64_t lease, kvs_write_fn done, void *arg);
 	/** Drops all calls with the argument @p arg. */
-	void (*forget)(void *store, void *arg);
+	void (*cancel)(void *store, void *arg);
 	/** Returns how many calls were made. */
 	uint64_t (*calls)(const void *store);
 };
--- a/src/lnk.c
+++ b/src/lnk.c
@@ -54,13 +54,13 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct lnk_out *out = value;
 
-		out->heard_us = MIN(now_us, out->heard_us + missed);
+		out->last_rx_us = MIN(now_us, out->last_rx_us + missed);
 		out->opened_us = MIN(now_us, out->opened_us + missed);
 	}
 	for (guint i = 0; i < lnk->in->len; i++) {
 		struct lnk_in *in = g_ptr_array_index(lnk->in, i);
 
-		in->heard_us = MIN(now_us, in->heard_us + missed);
+		in->last_rx_us = MIN(now_us, in->last_rx_us + missed);
 		in->opened_us = MIN(now_us, in->opened_us + missed);
 	}
 }
--- a/src/lnk.h
+++ b/src/lnk.h
@@ -60,7 +60,7 @@
 	size_t written; /* bytes of the first frame that the kernel has */
 	struct frm_reader reader;
 	int64_t opened_us;
-	int64_t heard_us;
+	int64_t last_rx_us;
 	int64_t used_us; /* last message sent */
 };
 
@@ -77,7 +77,7 @@
 	GByteArray *output;
 	struct frm_reader reader;
 	int64_t opened_us;
-	int64_t heard_us;
+	int64_t last_rx_us;
 };
 
 /** The newest connection accepted from a node. */
--- a/src/lnk_in.c
+++ b/src/lnk_in.c
@@ -222,7 +222,7 @@
 		if (got <= 0)
 			return got ? "read_failed" : "closed_by_peer";
 		total += (size_t)got;
-		in->heard_us = fs_now_us();
+		in->last_rx_us = fs_now_us();
 		ctr_add(in->lnk->node->ctr, in->lnk->bytes_in, (uint64_t)got);
 		frm_push(&in->reader, buffer, (size_t)got);
 		reason = take_frames(in);
@@ -255,7 +255,7 @@
 	in->address = *address;
 	in->output = g_byte_array_new();
 	frm_reader_init(&in->reader);
-	in->opened_us = in->heard_us = now_us;
+	in->opened_us = in->last_rx_us = now_us;
 	ev_io_init(&in->io, on_io, fd, EV_READ);
 	in->io.data = in;
 	ev_io_start(lnk->node->loop, &in->io);
@@ -266,7 +266,7 @@
 {
 	if (in->state != LNK_UP && now_us - in->opened_us > FS_LINK_SILENT_US)
 		end(in, "handshake_timeout");
-	else if (now_us - in->heard_us > FS_LINK_SILENT_US)
+	else if (now_us - in->last_rx_us > FS_LINK_SILENT_US)
 		end(in, "silent");
 }
 
--- a/src/lnk_out.c
+++ b/src/lnk_out.c
@@ -237,7 +237,7 @@
 			return NULL;
 		if (got <= 0)
 			return got ? "read_failed" : "closed_by_peer";
-		out->heard_us = fs_now_us();
+		out->last_rx_us = fs_now_us();
 		ctr_add(out->lnk->node->ctr, out->lnk->bytes_in, (uint64_t)got);
 		frm_push(&out->reader, buffer, (size_t)got);
 		reason = take_frames(out);
@@ -288,7 +288,7 @@
 	lnk_nonce(out->hello.nonce);
 	frm_reader_init(&out->reader);
 	g_queue_init(&out->frames);
-	out->opened_us = out->heard_us = out->used_us = now_us;
+	out->opened_us = out->last_rx_us = out->used_us = now_us;
 	ev_io_init(&out->io, on_io, fd, EV_WRITE);
 	out->io.data = out;
 	ev_io_start(lnk->node->loop, &out->io);
@@ -374,7 +374,7 @@
 			lnk_out_break(out, "handshake_timeout");
 		return;
 	}
-	if (now_us - out->heard_us > FS_LINK_SILENT_US) {
+	if (now_us - out->last_rx_us > FS_LINK_SILENT_US) {
 		lnk_out_break(out, "silent");
 		return;
 	}
--- a/src/lod_hub.c
+++ b/src/lod_hub.c
@@ -75,7 +75,7 @@
 		return;
 	peer->incarnation = packet->incarnation;
 	peer->serial = packet->serial;
-	peer->heard_us = now_us;
+	peer->last_rx_us = now_us;
 	g_hash_table_remove_all(peer->counts);
 	for (guint i = 0; i < packet->counts->len; i++) {
 		const struct lod_count *c =
@@ -129,7 +129,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct lod_peer *peer = value;
 
-		if (now_us - peer->heard_us > LOD_STALE_US)
+		if (now_us - peer->last_rx_us > LOD_STALE_US)
 			g_hash_table_iter_remove(&iter);
 		else
 			add_counts(totals, peer->counts);
--- a/src/lod_impl.h
+++ b/src/lod_impl.h
@@ -35,7 +35,7 @@
 struct lod_peer {
 	uint64_t incarnation;
 	uint32_t serial;
-	int64_t heard_us;
+	int64_t last_rx_us;
 	GHashTable *counts; /* target hash to requests */
 };
 
--- a/src/mem_check.c
+++ b/src/mem_check.c
@@ -179,7 +179,7 @@
 static bool may_judge(const struct mem_core *core,
 		      const struct mem_check *check, int64_t now_us)
 {
-	return check->relayed || core->heard_us > check->sent_us ||
+	return check->relayed || core->last_rx_us > check->sent_us ||
 	       now_us - check->sent_us > MEM_DEAF_US;
 }
 
@@ -241,7 +241,7 @@
 		if (node->m.state == MEM_SUSPECT)
 			node->suspect_until_us = now_us + mem_suspect_us(core);
 	}
-	core->heard_us = now_us;
+	core->last_rx_us = now_us;
 	core->next_ping_us = now_us + FS_GOSSIP_PERIOD_US;
 }
 
--- a/src/mem_core.c
+++ b/src/mem_core.c
@@ -104,7 +104,7 @@
 void mem_core_tick(struct mem_core *core, int64_t now_us)
 {
 	if (!core->ticked_us) {
-		core->heard_us = now_us;
+		core->last_rx_us = now_us;
 		core->push_refilled_us = now_us;
 		core->next_ping_us =
 			now_us + mem_random_below(core, FS_GOSSIP_PERIOD_US);
@@ -227,7 +227,7 @@
 	int err = mem_wire_decode(data, size, &packet);
 
 	if (!err && packet.sender != core->self->m.id) {
-		core->heard_us = now_us;
+		core->last_rx_us = now_us;
 		merge_all(core, &packet, now_us);
 		note_version(core, &packet);
 		act(core, &packet, now_us);
--- a/src/mem_core_priv.h
+++ b/src/mem_core_priv.h
@@ -54,7 +54,7 @@
 	bool changed;
 	int64_t changed_us;
 	int64_t ticked_us;
-	int64_t heard_us; /* last datagram from another member */
+	int64_t last_rx_us; /* last datagram from another member */
 	/* Pings */
 	GArray *ring; /* node_id, shuffled */
 	guint ring_next;
--- a/src/mem_merge.c
+++ b/src/mem_merge.c
@@ -29,7 +29,7 @@
 	       enum mem_state state, int64_t now_us)
 {
 	set_state(core, node, state, now_us);
-	if (now_us - core->heard_us <= MEM_DEAF_US)
+	if (now_us - core->last_rx_us <= MEM_DEAF_US)
 		mem_send_later(core, node, false);
 }
 
--- a/src/set.c
+++ b/src/set.c
@@ -10,7 +10,7 @@
 #define TTL_DEFAULT_MS 30000
 #define TTL_MIN_MS 1000
 #define TTL_MAX_MS 3600000
-#define FLEET_KEY_MIN 16 /* bytes */
+#define FLEET_KEY_MIN_BYTES 16 /* bytes */
 /* Bounds against slips of the pen; no machine of the deployments is near. */
 #define SECONDS_MAX 3600.0
 #define MEMORY_MB_MAX (1024.0 * 1024.0)
@@ -42,7 +42,7 @@
 	char *retry_window_s;
 };
 
-#define TEXT(key)                                                              \
+#define STRING_FIELD(key)                                                      \
 	CYAML_FIELD_STRING_PTR(#key, CYAML_FLAG_OPTIONAL, struct set_raw, key, \
 			       0, CYAML_UNLIMITED)
 
@@ -51,28 +51,28 @@
 };
 
 static const cyaml_schema_field_t set_fields[] = {
-	TEXT(name),
-	TEXT(region),
-	TEXT(failure_domain),
-	TEXT(caller_listen),
-	TEXT(peer_listen),
-	TEXT(operator_listen),
-	TEXT(peer_advertise),
-	TEXT(platform),
-	TEXT(fleet_key),
+	STRING_FIELD(name),
+	STRING_FIELD(region),
+	STRING_FIELD(failure_domain),
+	STRING_FIELD(caller_listen),
+	STRING_FIELD(peer_listen),
+	STRING_FIELD(operator_listen),
+	STRING_FIELD(peer_advertise),
+	STRING_FIELD(platform),
+	STRING_FIELD(fleet_key),
 	CYAML_FIELD_SEQUENCE("seeds", CYAML_FLAG_OPTIONAL | CYAML_FLAG_POINTER,
 			     struct set_raw, seeds, &seed_entry, 0,
 			     CYAML_UNLIMITED),
-	TEXT(answer_ttl_ms),
-	TEXT(ready_listen),
-	TEXT(resolve_listen),
-	TEXT(load_listen),
-	TEXT(memory_mb),
-	TEXT(max_fds),
-	TEXT(stop_grace_s),
-	TEXT(retry_ratio),
-	TEXT(retry_slack),
-	TEXT(retry_window_s),
+	STRING_FIELD(answer_ttl_ms),
+	STRING_FIELD(ready_listen),
+	STRING_FIELD(resolve_listen),
+	STRING_FIELD(load_listen),
+	STRING_FIELD(memory_mb),
+	STRING_FIELD(max_fds),
+	STRING_FIELD(stop_grace_s),
+	STRING_FIELD(retry_ratio),
+	STRING_FIELD(retry_slack),
+	STRING_FIELD(retry_window_s),
 	CYAML_FIELD_END,
 };
 
@@ -102,12 +102,12 @@
 		g_strlcpy(out->domain, raw->failure_domain, FS_DOMAIN_MAX);
 	if (!cfg_read_present(r, "fleet_key", raw->fleet_key))
 		return;
-	if (strlen(raw->fleet_key) < FLEET_KEY_MIN ||
+	if (strlen(raw->fleet_key) < FLEET_KEY_MIN_BYTES ||
 	    strlen(raw->fleet_key) >= sizeof(out->fleet_key))
 		cfg_problem(r, "fleet_key",
 			    "%zu bytes; it takes %d to %zu, the same on all "
 			    "nodes",
-			    strlen(raw->fleet_key), FLEET_KEY_MIN,
+			    strlen(raw->fleet_key), FLEET_KEY_MIN_BYTES,
 			    sizeof(out->fleet_key) - 1);
 	else
 		g_strlcpy(out->fleet_key, raw->fleet_key,
--- a/src/tgt.c
+++ b/src/tgt.c
@@ -322,5 +322,5 @@
 		return;
 	tgt->paused = false;
 	curl_easy_pause(tgt->easy, CURLPAUSE_CONT);
-	crl_kick(tgt->crl);
+	crl_wake(tgt->crl);
 }
--- a/tests/fleet_kvs.c
+++ b/tests/fleet_kvs.c
@@ -152,9 +152,9 @@
 	.range = range,
 	.watch = watch,
 	.lease = lease,
-	.keep = keep,
+	.renew = keep,
 	.put = put,
-	.forget = forget,
+	.cancel = forget,
 	.calls = calls,
 };
 
@@ -175,7 +175,7 @@
 		.value = item->value,
 		.size = item->value ? strlen(item->value) : 0,
 		.rev = item->rev,
-		.gone = !item->value,
+		.removed = !item->value,
 	};
 
 	g_array_append_val(out, one);
--- a/tests/unit_fed.c
+++ b/tests/unit_fed.c
@@ -8,7 +8,7 @@
 #include "fs_log.h"
 
 /** A feed task, its store, and what it sends. */
-struct desk {
+struct fixture {
 	struct node node;
 	struct shelf shelf;
 	struct dir *dir;
@@ -16,7 +16,7 @@
 	GPtrArray *sent; /* struct msg to other nodes */
 };
 
-static struct desk d;
+static struct fixture d;
 
 /* A configuration is its version as text; "x" is malformed. */
 static struct cfg *decode_config(const char *text, size_t size)
@@ -40,10 +40,10 @@
 
 static void send_remote(void *arg, struct msg *m, int64_t now_us)
 {
-	struct desk *desk = arg;
+	struct fixture *fixture = arg;
 
 	(void)now_us;
-	g_ptr_array_add(desk->sent, m);
+	g_ptr_array_add(fixture->sent, m);
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *timer, int events)
@@ -67,7 +67,7 @@
 	}
 }
 
-static void begin_with(const char *config)
+static void begin_with_config(const char *config)
 {
 	struct fed_platform platform = {
 		.config_key = "c/config",
@@ -102,7 +102,7 @@
 
 static void begin(void)
 {
-	begin_with("5");
+	begin_with_config("5");
 }
 
 static void end(void)
@@ -135,7 +135,7 @@
 /* No configuration: the node is not ready, whatever else it knows. */
 static void test_not_ready_without_configuration(void)
 {
-	begin_with(NULL);
+	begin_with_config(NULL);
 	g_assert_false(d.node.ready);
 	shelf_put(&d.shelf, "c/config", "2");
 	run(FS_US_PER_S / 2);
@@ -143,7 +143,7 @@
 	end();
 }
 
-static void test_change_is_in_force_in_time(void)
+static void test_change_takes_effect_in_time(void)
 {
 	begin();
 	shelf_put(&d.shelf, "t/s1", "leaving");
@@ -157,7 +157,7 @@
 }
 
 /* Neither the store nor a peer takes a node back to an older version. */
-static void test_older_version_is_not_taken(void)
+static void test_older_version_is_ignored(void)
 {
 	struct msg *m;
 
@@ -199,7 +199,7 @@
 
 /* Entries that lapsed in an outage are kept until 2 s after it; those that
  * come back stay. */
-static void test_outage_takes_no_target_away(void)
+static void test_outage_removes_no_target(void)
 {
 	begin();
 	d.shelf.refuse = FS_E_UNAVAILABLE;
@@ -219,7 +219,7 @@
 
 /* No reader is heard for long: the node goes on reading for itself, so that a
  * target which leaves is known as soon as at a reader. */
-static void test_deaf_node_goes_on_reading(void)
+static void test_node_without_reader_keeps_reading(void)
 {
 	begin();
 	run(3700 * FS_US_PER_MS);
@@ -234,7 +234,7 @@
 	end();
 }
 
-static void hear_beat(uint64_t digest, uint64_t version, bool local)
+static void receive_heartbeat(uint64_t digest, uint64_t version, bool local)
 {
 	struct msg *m = msg_new(MSG_FEED_BEAT, d.node.self, MSG_TASK_CONFIG);
 
@@ -247,18 +247,18 @@
 }
 
 /* A node that hears a fresh reader makes no calls. */
-static void test_fresh_reader_spares_calls(void)
+static void test_no_calls_with_fresh_reader(void)
 {
 	uint64_t calls;
 
 	begin();
 	for (int i = 0; i < 40; i++) {
-		hear_beat(dir_digest(d.dir), 5, true);
+		receive_heartbeat(dir_digest(d.dir), 5, true);
 		run(50 * FS_US_PER_MS);
 	}
 	calls = d.shelf.count;
 	for (int i = 0; i < 20; i++) {
-		hear_beat(dir_digest(d.dir), 5, true);
+		receive_heartbeat(dir_digest(d.dir), 5, true);
 		run(50 * FS_US_PER_MS);
 	}
 	g_assert_cmpuint(d.shelf.count, ==, calls);
@@ -269,7 +269,7 @@
 	end();
 }
 
-static bool was_asked(enum msg_type type)
+static bool was_queried(enum msg_type type)
 {
 	for (guint i = 0; i < d.sent->len; i++) {
 		const struct msg *m = g_ptr_array_index(d.sent, i);
@@ -281,7 +281,7 @@
 }
 
 /* A node that the store turns away learns from its peers. */
-static void test_peers_tell_what_the_store_does_not(void)
+static void test_peers_replace_lost_store(void)
 {
 	struct msg *m;
 	struct msg_removed removed = {.id = "s2", .rev = 100};
@@ -289,10 +289,10 @@
 	begin();
 	d.shelf.refuse = FS_E_UNAVAILABLE;
 	for (int i = 0; i < 30; i++) {
-		hear_beat(12345, 8, false);
+		receive_heartbeat(12345, 8, false);
 		run(50 * FS_US_PER_MS);
 	}
-	g_assert_true(was_asked(MSG_CONFIG_ASK));
+	g_assert_true(was_queried(MSG_CONFIG_ASK));
 	m = msg_new(MSG_FEED_ENTRIES, d.node.self, MSG_TASK_CONFIG);
 	g_array_append_val(m->feed_entries.removed, removed);
 	bus_deliver(d.node.bus, m);
@@ -303,7 +303,7 @@
 
 /* A reader that has just started never knew of a target that is gone: its
  * whole answer takes the target away all the same. */
-static void test_whole_answer_removes_what_it_lacks(void)
+static void test_complete_list_removes_absent(void)
 {
 	struct msg *m;
 	struct dir_entry e = {.rev = 100, .slots = 4};
@@ -330,20 +330,20 @@
 	g_test_add_func("/fed/not_ready_without_configuration",
 			test_not_ready_without_configuration);
 	g_test_add_func("/fed/change_is_in_force_in_time",
-			test_change_is_in_force_in_time);
+			test_change_takes_effect_in_time);
 	g_test_add_func("/fed/older_version_is_not_taken",
-			test_older_version_is_not_taken);
+			test_older_version_is_ignored);
 	g_test_add_func("/fed/lost_history", test_lost_history);
 	g_test_add_func("/fed/foreign_entry", test_foreign_entry);
 	g_test_add_func("/fed/outage_takes_no_target_away",
-			test_outage_takes_no_target_away);
+			test_outage_removes_no_target);
 	g_test_add_func("/fed/deaf_node_goes_on_reading",
-			test_deaf_node_goes_on_reading);
+			test_node_without_reader_keeps_reading);
 	g_test_add_func("/fed/fresh_reader_spares_calls",
-			test_fresh_reader_spares_calls);
+			test_no_calls_with_fresh_reader);
 	g_test_add_func("/fed/peers_tell_what_the_store_does_not",
-			test_peers_tell_what_the_store_does_not);
+			test_peers_replace_lost_store);
 	g_test_add_func("/fed/whole_answer_removes_what_it_lacks",
-			test_whole_answer_removes_what_it_lacks);
+			test_complete_list_removes_absent);
 	return g_test_run();
 }
--- a/tests/unit_plf.c
+++ b/tests/unit_plf.c
@@ -132,7 +132,7 @@
 	int err;
 	uint32_t count;
 	bool more;
-	bool gone;
+	bool removed;
 	uint64_t at_rev;
 	uint64_t lease;
 	char *value;
@@ -158,7 +158,7 @@
 	call->more = page->more;
 	call->at_rev = page->at_rev;
 	if (page->count) {
-		call->gone = page->items[page->count - 1].gone;
+		call->removed = page->items[page->count - 1].removed;
 		call->value = g_strdup(page->items[0].value);
 	}
 }
@@ -240,7 +240,7 @@
 	c.kvs.ops->watch(c.kvs.store, "op/", 411, FS_US_PER_S, on_page, &c);
 	call_end(&c);
 	g_assert_cmpint(c.err, ==, 0);
-	g_assert_true(c.gone);
+	g_assert_true(c.removed);
 }
 
 static void expect_err(unsigned int status, const char *body, int err)
--- a/tests/unit_set.c
+++ b/tests/unit_set.c
@@ -5,23 +5,23 @@
 
 #include "set.h"
 
-static const char good_text[] = "name: entry-1\n"		  /* line 1 */
-				"region: pnw\n"			  /* 2 */
-				"failure_domain: pnw-a\n"	  /* 3 */
-				"caller_listen: 127.0.0.1:8000\n" /* 4 */
-				"peer_listen: 127.0.0.1:7000\n"	  /* 5 */
-				"operator_listen: 127.0.0.1:0\n"  /* 6 */
-				"platform: 127.0.0.1:2379\n"	  /* 7 */
-				"fleet_key: 0123456789abcdef\n"	  /* 8 */
-				"seeds: [\"10.0.0.1:7000\"]\n"	  /* 9 */
-				"answer_ttl_ms: 5000\n";	  /* 10 */
+static const char valid_text[] = "name: entry-1\n"		   /* line 1 */
+				 "region: pnw\n"		   /* 2 */
+				 "failure_domain: pnw-a\n"	   /* 3 */
+				 "caller_listen: 127.0.0.1:8000\n" /* 4 */
+				 "peer_listen: 127.0.0.1:7000\n"   /* 5 */
+				 "operator_listen: 127.0.0.1:0\n"  /* 6 */
+				 "platform: 127.0.0.1:2379\n"	   /* 7 */
+				 "fleet_key: 0123456789abcdef\n"   /* 8 */
+				 "seeds: [\"10.0.0.1:7000\"]\n"	   /* 9 */
+				 "answer_ttl_ms: 5000\n";	   /* 10 */
 
 /* Replace @find by @with: the error says this. */
 static const struct {
 	const char *find;
 	const char *with;
 	const char *says;
-} bad_cases[] = {
+} invalid_cases[] = {
 	{"name: entry-1\n", "", "name is missing"},
 	{"entry-1", "entry/1", ":1: name: \"entry/1\" is not a name"},
 	{"region: pnw", "regoin: pnw", ":2: regoin: unknown setting"},
@@ -51,13 +51,13 @@
 	return err;
 }
 
-static void test_good(void)
+static void test_valid(void)
 {
 	g_autofree char *error = NULL;
 	char address[FS_ADDRESS_MAX];
 	struct set set;
 
-	g_assert_cmpint(load_text(good_text, &set, &error), ==, 0);
+	g_assert_cmpint(load_text(valid_text, &set, &error), ==, 0);
 	g_assert_null(error);
 	g_assert_cmpstr(set.name, ==, "entry-1");
 	g_assert_cmpstr(set.domain, ==, "pnw-a");
@@ -71,20 +71,20 @@
 
 static void test_each_error(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(bad_cases); i++) {
-		const char *at = strstr(good_text, bad_cases[i].find);
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid_cases); i++) {
+		const char *at = strstr(valid_text, invalid_cases[i].find);
 		g_autofree char *error = NULL;
 		g_autofree char *text = NULL;
 		struct set set;
 
 		g_assert_nonnull(at);
-		text = g_strdup_printf("%.*s%s%s", (int)(at - good_text),
-				       good_text, bad_cases[i].with,
-				       at + strlen(bad_cases[i].find));
+		text = g_strdup_printf("%.*s%s%s", (int)(at - valid_text),
+				       valid_text, invalid_cases[i].with,
+				       at + strlen(invalid_cases[i].find));
 		g_assert_cmpint(load_text(text, &set, &error), ==,
 				FS_E_INVALID);
 		g_test_message("%s", error);
-		g_assert_nonnull(strstr(error, bad_cases[i].says));
+		g_assert_nonnull(strstr(error, invalid_cases[i].says));
 	}
 }
 
@@ -101,7 +101,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/set/good", test_good);
+	g_test_add_func("/set/good", test_valid);
 	g_test_add_func("/set/each_error", test_each_error);
 	g_test_add_func("/set/no_file", test_no_file);
 	return g_test_run();
