--- a/src/fed.c
+++ b/src/fed.c
@@ -66,7 +66,7 @@
 static void update_reading(struct fed *fed, int64_t now_us)
 {
 	bool was = fed->reading;
-	/* Who has begun goes on until a reader is heard. */
+	/* A node that reads continues until a heartbeat arrives. */
 	bool no_reader = now_us - fed->last_rx_us > FED_READER_TIMEOUT_US &&
 			 (was || now_us - fed->listed_us > FED_LIST_FRESH_US);
 
@@ -145,7 +145,7 @@
 		fed->view = mem_view_ref(m->view.view);
 		break;
 	case MSG_CONFIG_HINT:
-		/* The reader of this domain has it as well, or soon. */
+		/* This domain's reader already has that version or gets it soon. */
 		if (now_us - fed->local_rx_us > FED_READER_TIMEOUT_US)
 			fed_request_config(fed, m->config_hint.node,
 					   m->config_hint.version, now_us);
@@ -205,7 +205,7 @@
 	fed->dir = dir;
 	fed->random = node->self ^ node->incarnation;
 	fed->started_us = now_us;
-	/* Reads at once: nobody has been heard yet. */
+	/* Reads at once: no heartbeat has been received yet. */
 	fed->last_rx_us = fed->local_rx_us = fed->listed_us =
 		now_us - 2 * FED_READER_TIMEOUT_US;
 	fed_read_init(fed);
--- a/src/fed.h
+++ b/src/fed.h
@@ -1,26 +1,27 @@
 /**
  * @file fed.h
- * @brief Feed task: configuration and directory of targets, from the
- * platform's key-value service to every node.
+ * @brief Feed task: distributes the configuration and the directory of targets
+ * from the platform's key-value service to every node.
  *
- * One node of each failure domain reads the service: the one with the highest
- * weight among those that live, which is also the hub of the load exchange. It
- * tells the others of its domain of changes over links. How fresh it is goes
- * with the digests of that exchange, several times a second and to all. A node
- * that hears of no fresh reader for FED_READER_TIMEOUT_US reads for itself until it does.
- * So no node has to be elected or replaced, a lost reader costs nothing, and a
- * node that the service turns away still learns from its peers; from those of
- * another domain only if its own has no fresh reader, as bytes between domains
- * are dear.
+ * One node of each failure domain, the reader, reads the service: the live
+ * member with the highest rendezvous weight, which is also the hub of the load
+ * exchange. It broadcasts changes to its domain over links. Its heartbeats
+ * travel with the digests of the load exchange, several times a second and to
+ * all nodes. A node that has received no heartbeat of a fresh reader for
+ * FED_READER_TIMEOUT_US reads for itself until one arrives. No election or
+ * failover is needed, and a node that the service refuses is updated by its
+ * peers. Peers of another domain are queried only if the own domain has no
+ * fresh reader, as traffic between domains is expensive.
  *
- * A reader lists the targets once, then watches for changes. What it tells is
- * merged by revision (dir.h); a digest shows when something was missed.
+ * A reader lists the targets once, then watches for changes. Broadcast changes
+ * are merged by revision (dir.h); a digest mismatch reveals missed ones
+ * (anti-entropy).
  *
- * A configuration is in force once it is decoded. An older version is never
- * taken in one run of the process.
+ * A configuration is in force once it is decoded. A process never goes back to
+ * an older version.
  *
- * Readers also keep a key with their address, under a lease, so that a node
- * whose seeds are all gone finds the others.
+ * Readers also register their address under a lease, so that a node whose seeds
+ * are all unreachable finds the others.
  */
 #ifndef FED_H
 #define FED_H
@@ -28,23 +29,23 @@
 #include "kvs.h"
 #include "node.h"
 
-/** Where the platform keeps things, and how they are read. */
+/** Keys of the platform's store and decoders of their values. */
 struct fed_platform {
 	struct kvs kvs;
-	const char *config_key;	   /* the configuration, whole */
-	const char *config_prefix; /* watched for it */
+	const char *config_key;	   /* the complete configuration */
+	const char *config_prefix; /* watched for changes of config_key */
 	const char *target_prefix; /* one key for each server, by its id */
-	const char *node_prefix;   /* ours: one key for each node */
+	const char *node_prefix;   /* one key for each node of the fleet */
 	/** Decodes a configuration. @return NULL if it is malformed */
 	struct cfg *(*decode_config)(const char *text, size_t size);
-	/** Decodes a server's entry. @return false if it is none */
+	/** Decodes a server's entry. @return false if it is not valid */
 	bool (*decode_target)(const struct kvs_item *item,
 			      struct dir_entry *out);
 };
 
 struct fed;
 
-/** Makes the task. @param dir  owned by the caller, changed by the task */
+/** Creates the task. @param dir  owned by the caller, updated by the task */
 struct fed *fed_new(struct node *node, const struct fed_platform *platform,
 		    struct dir *dir);
 void fed_free(struct fed *fed);
--- a/src/fed_impl.h
+++ b/src/fed_impl.h
@@ -7,26 +7,26 @@
 
 #include "fed.h"
 
-/* A node that has just started knows few members yet: it reads for itself, but
- * does not tell others. */
+/* A node that has just started knows few members: it reads for itself but is
+ * not chosen as reader yet. */
 #define FED_SETTLE_US (1200 * FS_US_PER_MS)
-/* Without a fresh reader for so long a node reads for itself; leaves half of
- * the 2 s in which a change has to be in force for its own calls. */
+/* A node without a fresh reader for this long reads for itself. Leaves half of
+ * the 2 s within which a change has to be in force for the node's own calls. */
 #define FED_READER_TIMEOUT_US (1200 * FS_US_PER_MS)
-/* A reader that is not chosen any more goes on for the time in which the next
- * one, which may just have started, settles and lists. */
+/* A reader that is no longer chosen continues while its successor, which may
+ * just have started, settles and lists. */
 #define FED_HANDOVER_US (2500 * FS_US_PER_MS)
-/* Nor does a node that has just read all there is: after a start readers are
- * heard within this time. */
+/* A node whose own complete list is younger than this does not start to read:
+ * after a start, heartbeats of readers arrive within this time. */
 #define FED_LIST_FRESH_US (2500 * FS_US_PER_MS)
 /* A reader is fresh if the service answered it within this time. */
 #define FED_FRESH_US (1100 * FS_US_PER_MS)
-/* Heard readers this long before its own reading ends, so that it does not
- * stop and start by turns. */
+/* Hysteresis: a node stops reading only after readers have been present for
+ * this long, so that it does not flap. */
 #define FED_READ_HYSTERESIS_US (1 * FS_US_PER_S)
 
-/* Servers report every 1.5 s or so, hence a watch on them returns at once:
- * the pause bounds the calls of a reader to about two a second. */
+/* Servers report about every 1.5 s, so a watch on them returns at once. The
+ * pause limits a reader to about two calls per second. */
 #define FED_TARGET_PAUSE_US (450 * FS_US_PER_MS)
 #define FED_TARGET_LONG_POLL_US (600 * FS_US_PER_MS)
 /* Changes of the configuration are rare: the watch waits for one. */
@@ -34,38 +34,38 @@
 #define FED_RETRY_MIN_US (150 * FS_US_PER_MS) /* after a failed call */
 #define FED_RETRY_MAX_US (1000 * FS_US_PER_MS)
 
-/* A lapsed entry is back within 2 s of the service's return. */
+/* Servers renew an expired entry within 2 s of the service's return. */
 #define FED_REMOVAL_GRACE_US (2200 * FS_US_PER_MS)
 
-/* Without an answer or a fresh reader for so long the store may have been
- * away: twice the longest wait of a watch on targets that is answered. */
+/* After this long without an answer or a fresh reader an outage of the store is
+ * assumed: twice the longest wait of an answered watch on targets. */
 #define FED_STORE_GAP_US (2000 * FS_US_PER_MS)
 
-#define FED_QUERY_INTERVAL_US \
-	(300 * FS_US_PER_MS) /* between two questions to peers */
+/* Minimum interval between two queries to peers. */
+#define FED_QUERY_INTERVAL_US (300 * FS_US_PER_MS)
 
-/* A node's own key: renewed three times within its lease. */
+/* The lease of a node's own key is renewed three times within its TTL. */
 #define FED_LEASE_TTL_US (12 * FS_US_PER_S)
 #define FED_LEASE_RENEW_US (4 * FS_US_PER_S)
-#define FED_LIST_NODES_INTERVAL_US \
-	(3 * FS_US_PER_S) /* while no others are known */
-#define FED_BOOTSTRAP_DELAY_US \
-	(700 * FS_US_PER_MS) /* seeds answer well before that */
+/* While no other members are known. */
+#define FED_LIST_NODES_INTERVAL_US (3 * FS_US_PER_S)
+/* Seeds answer well before that. */
+#define FED_BOOTSTRAP_DELAY_US (700 * FS_US_PER_MS)
 
-/** One reading of a prefix: a list, then watches from its revision. */
+/** Reads one prefix: lists it, then watches from the revision of the list. */
 struct fed_watcher {
 	struct fed *fed;
 	const char *prefix;
-	bool is_config;	   /* of the configuration; else of the targets */
-	bool running;	   /* a call is under way */
+	bool is_config;	   /* else the targets */
+	bool running;	   /* a call is in flight */
 	bool listed;	   /* the list is complete: watch */
-	uint64_t from_rev; /* where the watch goes on */
+	uint64_t from_rev; /* the watch continues after it */
 	uint64_t list_rev; /* of the first page of the list */
 	char *page_after;  /* last key of the previous page, or NULL */
-	uint32_t failures; /* calls in a row */
+	uint32_t failures; /* consecutive failed calls */
 	int64_t next_us;
 	int64_t answered_us;
-	int64_t grace_until_us; /* removals take effect only then */
+	int64_t grace_until_us; /* removals are deferred until then */
 };
 
 struct fed {
@@ -77,36 +77,36 @@
 	struct fed_watcher targets;
 	struct fed_watcher config;
 	uint64_t random;
-	int64_t chosen_us; /* when it last was; it still tells for a while */
+	int64_t chosen_us; /* last time chosen; broadcasts until the handover ends */
 	int64_t started_us;
-	int64_t last_rx_us;   /* last beat of a fresh reader */
-	int64_t no_reader_us; /* last time without one */
-	int64_t local_rx_us;  /* last beat of a fresh one in this domain */
-	int64_t listed_us;    /* when it last had a whole list itself */
+	int64_t last_rx_us;   /* last heartbeat of a fresh reader */
+	int64_t no_reader_us; /* last time without a fresh reader */
+	int64_t local_rx_us;  /* same, in this domain */
+	int64_t listed_us;    /* last complete list of its own */
 	int64_t changed_us;   /* last change of the directory */
 	int64_t queried_us;
 	int64_t config_queried_us;
-	struct msg *changes; /* MSG_FEED_ENTRIES to be told, or NULL */
+	struct msg *changes; /* MSG_FEED_ENTRIES to broadcast, or NULL */
 	/* This node's own key */
 	uint64_t lease;
 	int64_t lease_next_us;
 	int64_t nodes_next_us;
 	/* States */
 	bool chosen;	      /* this node is a reader by its weight */
-	bool reading;	      /* it reads, chosen or not */
-	bool store_lost;      /* the service does not answer this node */
-	bool directory_known; /* listed, or told by a peer */
-	bool merging;	      /* what changes now came from a peer */
+	bool reading;	      /* it polls the service, chosen or not */
+	bool store_lost;      /* calls of this node fail */
+	bool directory_known; /* listed, or received from a peer */
+	bool merging;	      /* changes being applied are a peer's */
 	bool lease_running;
 	bool nodes_running;
 };
 
 /* Configuration (fed.c) */
 
-/** Makes the node ready once it knows what it needs. */
+/** Marks the node ready once configuration and directory are known. */
 void fed_check_ready(struct fed *fed);
 
-/** Takes a configuration's text if its version is newer. */
+/** Applies a configuration if its version is newer. */
 void fed_apply_config(struct fed *fed, const char *text, size_t size,
 		      const char *source, int64_t now_us);
 
@@ -114,17 +114,17 @@
 void fed_read_init(struct fed *fed);
 void fed_read_tick(struct fed *fed, int64_t now_us);
 
-/* Telling peers (fed_tell.c) */
+/* Exchange with peers (fed_tell.c) */
 
-/** Notes a changed or removed target, to be told with the next tick. */
+/** Queues a changed or removed target for broadcast with the next tick. */
 void fed_queue_entry(struct fed *fed, const struct dir_entry *entry);
 void fed_queue_removal(void *arg, const struct dir_target *target,
 		       uint64_t rev);
 void fed_broadcast_tick(struct fed *fed, int64_t now_us);
-/** Takes the beat of another reader. */
+/** Handles the heartbeat of another reader. */
 void fed_receive_heartbeat(struct fed *fed, const struct msg *m,
 			   int64_t now_us);
-/** Asks a peer for its configuration if that is newer. */
+/** Requests a peer's configuration if it is newer. */
 void fed_request_config(struct fed *fed, node_id peer, uint64_t version,
 			int64_t now_us);
 void fed_merge_entries(struct fed *fed, const struct msg *m, int64_t now_us);
--- a/src/fed_node.c
+++ b/src/fed_node.c
@@ -50,7 +50,7 @@
 	schedule_renewal(fed, err);
 }
 
-/* Gives the membership task the addresses of all nodes as contacts. */
+/* Passes the registered addresses to the membership task as contacts. */
 static void on_nodes(void *arg, int err, const struct kvs_page *page)
 {
 	struct fed *fed = arg;
--- a/src/fed_read.c
+++ b/src/fed_read.c
@@ -27,7 +27,7 @@
 	watcher->failures++;
 	watcher->next_us = now_us + retry_us(fed, watcher->failures);
 	if (err == FS_E_STALE) {
-		/* History was dropped: the list tells all there is. */
+		/* The history was compacted: list everything again. */
 		fs_log_eventf("fed", G_LOG_LEVEL_INFO, "history_lost",
 			      "\"prefix\":\"%s\",\"rev\":%" G_GUINT64_FORMAT,
 			      watcher->prefix, watcher->from_rev);
@@ -46,8 +46,8 @@
 
 	int64_t known_us = MAX(fed->last_rx_us, watcher->answered_us);
 
-	/* Nothing is known of the store since then: it may have been away, and
-	 * entries may have lapsed meanwhile. */
+	/* An outage of the store in the meantime is possible, in which entries
+	 * may have expired. */
 	if (fed->directory_known && now_us - known_us > FED_STORE_GAP_US)
 		watcher->grace_until_us = now_us + FED_REMOVAL_GRACE_US;
 	if (!watcher->is_config)
@@ -68,7 +68,7 @@
 			   now_us);
 		return;
 	}
-	/* Another writer's entry names no server. */
+	/* Another writer's entry, or a malformed one. */
 	if (!fed->platform.decode_target(item, &entry)) {
 		ctr_count(fed->node->ctr, "fed_entries_malformed", 1);
 		return;
@@ -150,7 +150,7 @@
 
 		g_free(watcher->page_after);
 		watcher->page_after = g_strdup(last);
-		/* At once: a long list must not wait for a tick a page. */
+		/* At once: a long list must not wait one tick for each page. */
 		begin_call(watcher);
 		return;
 	}
@@ -181,7 +181,7 @@
 	if (watcher->running)
 		kvs->ops->cancel(kvs->store, watcher);
 	watcher->running = false;
-	/* What changes meanwhile is only known from peers: list again. */
+	/* The watch misses what changes until reading resumes: list again. */
 	watcher->listed = false;
 	g_clear_pointer(&watcher->page_after, g_free);
 	watcher->failures = 0;
--- a/src/fed_tell.c
+++ b/src/fed_tell.c
@@ -57,7 +57,7 @@
 	return m;
 }
 
-/* Tells the load exchange, which tells all nodes. */
+/* The load exchange forwards it to all nodes. */
 static void send_heartbeat(struct fed *fed, int64_t now_us)
 {
 	struct msg *m = msg_new(MSG_FEED_BEAT, fed->node->self, MSG_TASK_LOAD);
@@ -71,7 +71,7 @@
 	bus_send(fed->node->bus, m);
 }
 
-/* Other failure domains have readers of their own. */
+/* Other failure domains have their own readers. */
 static void broadcast_to_domain(struct fed *fed)
 {
 	for (uint32_t i = 0; fed->view && i < fed->view->count; i++) {
@@ -97,7 +97,7 @@
 			    const struct msg_feed_beat *heartbeat,
 			    int64_t now_us)
 {
-	/* Changes under way explain a digest that differs for a moment. */
+	/* Changes in flight cause a digest mismatch for a moment. */
 	if (heartbeat->digest == dir_digest(fed->dir) ||
 	    now_us - fed->changed_us < FED_QUERY_INTERVAL_US ||
 	    now_us - fed->queried_us < FED_QUERY_INTERVAL_US)
@@ -121,7 +121,7 @@
 		return;
 	fed_request_config(fed, heartbeat->reader, heartbeat->config_version,
 			   now_us);
-	/* A node that reads has the list itself. */
+	/* A node that reads has its own list. */
 	if (!fed->reading || !fed->targets.listed)
 		request_entries(fed, heartbeat, now_us);
 }
@@ -147,7 +147,8 @@
 
 		dir_remove(fed->dir, r->id, r->rev, 0, now_us);
 	}
-	/* The sender may never have known of what it lacks. */
+	/* A sender that started recently has no removal records of targets
+	 * removed before: drop what its complete list lacks. */
 	if (m->feed_entries.whole_rev)
 		dir_list_end(fed->dir, m->feed_entries.whole_rev, 0, now_us);
 	fed->merging = false;
@@ -155,7 +156,7 @@
 		fed->directory_known = true;
 }
 
-/** What a full answer is made of. */
+/** A complete answer under construction. */
 struct full_sync {
 	struct msg *m;
 	int64_t now_us;
