--- a/src/crl.c
+++ b/src/crl.c
@@ -2,7 +2,7 @@
 
 #include "fs_err.h"
 
-/** One socket that libcurl wants watched. */
+/** One socket that libcurl waits on. */
 struct crl_socket {
 	ev_io io;
 	struct crl *crl;
@@ -22,8 +22,8 @@
 	GHashTable *sockets;   /* struct crl_socket * */
 };
 
-/* Ended transfers leave the multi handle before their function runs, so that
- * the function may free the easy handle or start it again. */
+/* A finished transfer is removed from the multi handle before its callback
+ * runs, so that the callback may free the easy handle or start it again. */
 static void reap(struct crl *crl)
 {
 	CURLMsg *m;
--- a/src/fed.h
+++ b/src/fed.h
@@ -4,7 +4,7 @@
  * from the platform's key-value service to every node.
  *
  * One node of each failure domain, the reader, reads the service: the live
- * member with the highest rendezvous weight, which is also the hub of the load
+ * member with the highest weight, which is also the hub of the load
  * exchange. It broadcasts changes to its domain over links. Its heartbeats
  * travel with the digests of the load exchange, several times a second and to
  * all nodes. A node that has received no heartbeat of a fresh reader for
--- a/src/node.h
+++ b/src/node.h
@@ -1,6 +1,6 @@
 /**
  * @file node.h
- * @brief One daemon: the loop and what its tasks are made with.
+ * @brief State shared by the tasks of one daemon, and its event loop.
  */
 #ifndef NODE_H
 #define NODE_H
@@ -16,10 +16,10 @@
 
 #define NODE_STATUS_MAX 12
 #define NODE_TICKS_MAX 8
-/* One timer for all periodic work: fewer wake-ups of a small machine. */
+/* One timer for all periodic work reduces wake-ups on small machines. */
 #define NODE_TICK_US (100 * FS_US_PER_MS)
 
-/** A part of the operator interface's status page. */
+/** A section of the operator interface's status page. */
 struct node_status {
 	const char *name; /* member of the JSON object */
 	/** Appends one JSON value. */
@@ -56,13 +56,13 @@
 	struct sockaddr_in operator;
 };
 
-/** Makes what all tasks share, from node->set; no platform client yet. */
+/** Creates the shared objects from node->set, without the platform client. */
 void node_open(struct node *node);
 
-/** Frees it, after the tasks. */
+/** Frees the shared objects, after the tasks. */
 void node_close(struct node *node);
 
-/** Adds a part to the status page. */
+/** Adds a section to the status page. */
 void node_add_status(struct node *node, const char *name,
 		     void (*write)(const void *task, GString *out,
 				   int64_t now_us),
@@ -72,20 +72,20 @@
 void node_add_tick(struct node *node, void (*fn)(void *task, int64_t now_us),
 		   void *task);
 
-/** Calls it no more. */
+/** Stops the periodic calls for @p task. */
 void node_remove_tick(struct node *node, const void *task);
 
-/** Begins a planned stop, as SIGTERM does; may be called again. */
+/** Begins a planned stop, as SIGTERM does; idempotent. */
 void node_begin_stop(struct node *node);
 
 /*
- * Tasks. Each is made with its sockets bound and its bus address attached,
- * and freed after the loop has ended. A NULL result means that it could not
- * start; the reason is in the log.
+ * Tasks. Creating one binds its sockets and attaches it to the bus; it is freed
+ * after the loop has ended. A NULL result means that it could not start; the
+ * reason is in the log.
  *
- * A task that has work in flight answers MSG_STOP by MSG_STOPPED to
- * MSG_TASK_NODE once nothing is left (entry, dispatch); the others go on until
- * the node ends.
+ * A task with requests in flight (entry, dispatch) answers MSG_STOP by
+ * MSG_STOPPED to MSG_TASK_NODE once they have ended; the others run until the
+ * process ends.
  */
 struct ent *ent_new(struct node *node); /* callers; binds node->caller */
 void ent_free(struct ent *ent);
--- a/src/set.c
+++ b/src/set.c
@@ -10,8 +10,8 @@
 #define TTL_DEFAULT_MS 30000
 #define TTL_MIN_MS 1000
 #define TTL_MAX_MS 3600000
-#define FLEET_KEY_MIN_BYTES 16 /* bytes */
-/* Bounds against slips of the pen; no machine of the deployments is near. */
+#define FLEET_KEY_MIN_BYTES 16
+/* Bounds against typing errors, far above any machine of the deployments. */
 #define SECONDS_MAX 3600.0
 #define MEMORY_MB_MAX (1024.0 * 1024.0)
 #define FDS_MAX (1024 * 1024)
@@ -84,10 +84,11 @@
 			 const char *text, struct sockaddr_in *out)
 {
 	if (set_parse_address(text, out))
-		cfg_problem(r, key,
-			    "\"%.64s\" is not an address: an IP number and a "
-			    "port, such as 10.0.0.1:7000",
-			    text);
+		cfg_problem(
+			r, key,
+			"\"%.64s\" is not an address: expected IPv4 address "
+			"and port, such as 10.0.0.1:7000",
+			text);
 }
 
 static void read_names(struct cfg_reader *r, const struct set_raw *raw,
@@ -105,8 +106,8 @@
 	if (strlen(raw->fleet_key) < FLEET_KEY_MIN_BYTES ||
 	    strlen(raw->fleet_key) >= sizeof(out->fleet_key))
 		cfg_problem(r, "fleet_key",
-			    "%zu bytes; it takes %d to %zu, the same on all "
-			    "nodes",
+			    "%zu bytes; must be %d to %zu bytes, the same "
+			    "on all nodes",
 			    strlen(raw->fleet_key), FLEET_KEY_MIN_BYTES,
 			    sizeof(out->fleet_key) - 1);
 	else
--- a/src/set.h
+++ b/src/set.h
@@ -1,9 +1,10 @@
 /**
  * @file set.h
- * @brief Local settings of one daemon: its name, place and addresses.
+ * @brief Local settings of one daemon: its name, location and addresses.
  *
- * A small YAML file, separate from the operators' configuration. Read once at
- * start; every error names the line, the setting and what would be right.
+ * A small YAML file, separate from the operators' configuration. The same
+ * file may be loaded again; each error names the line, the setting and the
+ * accepted values.
  */
 #ifndef SET_H
 #define SET_H
@@ -21,30 +22,30 @@
 	struct sockaddr_in peer_listen;	  /* TCP and UDP, same port */
 	struct sockaddr_in operator_listen;
 	struct sockaddr_in peer_advertise; /* where peers reach this node; all
-					     * zero: the address listened on */
+					     * zero: the listen address */
 	char platform[FS_ADDRESS_MAX];	   /* "ip:port" of the platform */
 	char fleet_key[128];		   /* shared secret between the nodes */
 	struct sockaddr_in seeds[16];	   /* peers to join through */
 	uint32_t seed_count;
-	int64_t answer_ttl_us; /* entry addresses may be kept this
-					     * long; default 30 s */
-	/* Only of gateways (gwy.h); all zero if absent */
-	struct sockaddr_in ready_listen;   /* the platform's own checks */
-	struct sockaddr_in resolve_listen; /* callers ask for addresses */
+	int64_t answer_ttl_us; /* TTL of resolved entry addresses;
+					     * default 30 s */
+	/* Gateways only (gwy.h); zero if absent */
+	struct sockaddr_in ready_listen;   /* the platform's readiness checks */
+	struct sockaddr_in resolve_listen; /* address queries of callers */
 	struct sockaddr_in load_listen;	   /* UDP, load exchange */
-	uint64_t memory_bytes;		   /* the process may use */
-	uint32_t max_fds;		   /* descriptors it may open */
+	uint64_t memory_bytes;		   /* memory limit of the process */
+	uint32_t max_fds;		   /* limit of file descriptors */
 	int64_t stop_grace_us;		   /* from SIGTERM to SIGKILL */
-	double retry_ratio;	 /* repeats of the fleet for each request */
-	double retry_slack;	 /* and for each window besides */
-	int64_t retry_window_us; /* in which repeats are counted */
+	double retry_ratio;	 /* retries of the fleet per request */
+	double retry_slack;	 /* additional retries per window */
+	int64_t retry_window_us; /* window in which retries count */
 };
 
 /**
  * Loads the settings of a daemon.
  * @param path   file name
  * @param out    out: the settings
- * @param error  out: place and reason, owned by the caller; NULL if none
+ * @param error  out: location and reason, owned by the caller; NULL if none
  * @return 0, FS_E_NOT_FOUND or FS_E_INVALID
  */
 int set_load(const char *path, struct set *out, char **error);
--- a/tests/unit_fed.c
+++ b/tests/unit_fed.c
@@ -1,5 +1,5 @@
-/* The feed task over a store inside the test: what is taken, in which order,
- * what happens when the store is away, and what peers tell. */
+/* The feed task over an in-process store: which changes are applied and in what
+ * order, outages of the store, and updates from peers. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "fleet_kvs.h"
 #include "fs_log.h"
 
-/** A feed task, its store, and what it sends. */
+/** A feed task, its store, and the messages it sends. */
 struct fixture {
 	struct node node;
 	struct shelf shelf;
@@ -53,7 +53,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-/* Runs the loop, answering the store's calls as they come. */
+/* Runs the loop and answers pending calls of the store. */
 static void run(int64_t us)
 {
 	for (int64_t end_us = fs_now_us() + us; fs_now_us() < end_us;) {
@@ -95,7 +95,7 @@
 		shelf_put(&d.shelf, key, "ready");
 	}
 	d.fed = fed_new(&d.node, &platform, d.dir);
-	/* A change is in force within two seconds; so is all there is. */
+	/* A change, and the initial state, is in force within 2 s. */
 	for (int i = 0; i < 40 && !(config ? d.node.ready : i == 4); i++)
 		run(50 * FS_US_PER_MS);
 }
@@ -132,7 +132,7 @@
 	end();
 }
 
-/* No configuration: the node is not ready, whatever else it knows. */
+/* Without a configuration the node is not ready, even with a directory. */
 static void test_not_ready_without_configuration(void)
 {
 	begin_with_config(NULL);
@@ -156,7 +156,7 @@
 	end();
 }
 
-/* Neither the store nor a peer takes a node back to an older version. */
+/* Neither the store nor a peer can return a node to an older version. */
 static void test_older_version_is_ignored(void)
 {
 	struct msg *m;
@@ -173,7 +173,7 @@
 	end();
 }
 
-/* History is dropped while changes are made: the list tells them. */
+/* Changes whose history is compacted are found by a new list. */
 static void test_lost_history(void)
 {
 	begin();
@@ -186,7 +186,7 @@
 	end();
 }
 
-/* Another writer's entry is no server, and takes nothing away. */
+/* Another writer's entry adds no target and removes none. */
 static void test_foreign_entry(void)
 {
 	begin();
@@ -197,8 +197,8 @@
 	end();
 }
 
-/* Entries that lapsed in an outage are kept until 2 s after it; those that
- * come back stay. */
+/* Entries that expired in an outage are kept until 2 s after it; those that
+ * are renewed by then stay. */
 static void test_outage_removes_no_target(void)
 {
 	begin();
@@ -217,8 +217,8 @@
 	end();
 }
 
-/* No reader is heard for long: the node goes on reading for itself, so that a
- * target which leaves is known as soon as at a reader. */
+/* No heartbeats arrive for long: the node keeps reading for itself, so that a
+ * removed target is noticed as soon as at a reader. */
 static void test_node_without_reader_keeps_reading(void)
 {
 	begin();
@@ -246,7 +246,7 @@
 	bus_deliver(d.node.bus, m);
 }
 
-/* A node that hears a fresh reader makes no calls. */
+/* A node that receives heartbeats of a fresh reader makes no calls. */
 static void test_no_calls_with_fresh_reader(void)
 {
 	uint64_t calls;
@@ -262,7 +262,7 @@
 		run(50 * FS_US_PER_MS);
 	}
 	g_assert_cmpuint(d.shelf.count, ==, calls);
-	/* The reader falls silent: the node reads for itself in time. */
+	/* Heartbeats stop: the node reads for itself in time. */
 	shelf_put(&d.shelf, "t/s1", "leaving");
 	run(1800 * FS_US_PER_MS);
 	g_assert_true(dir_target_find(d.dir, "s1")->entry.leaving);
@@ -280,7 +280,7 @@
 	return false;
 }
 
-/* A node that the store turns away learns from its peers. */
+/* A node that the store refuses is updated by its peers. */
 static void test_peers_replace_lost_store(void)
 {
 	struct msg *m;
@@ -301,8 +301,8 @@
 	end();
 }
 
-/* A reader that has just started never knew of a target that is gone: its
- * whole answer takes the target away all the same. */
+/* A reader that has just started has no record of a target removed before:
+ * its complete list removes the target all the same. */
 static void test_complete_list_removes_absent(void)
 {
 	struct msg *m;
--- a/tests/unit_plf.c
+++ b/tests/unit_plf.c
@@ -1,5 +1,5 @@
-/* The platform's forms: what is decoded, what is refused, what a call's answer
- * becomes. */
+/* The platform's formats: decoding, rejection of malformed entries, and mapping
+ * of responses. */
 #include <curl/curl.h>
 #include <string.h>
 
@@ -43,7 +43,7 @@
 	g_assert_true(r->repeatable);
 	g_assert_cmpuint(r->share_count, ==, 2);
 	g_assert_cmpuint(r->shares[1].weight, ==, 10);
-	/* A kind that is not known must not be repeated. */
+	/* Requests of an unknown kind are not repeatable. */
 	g_assert_false(cfg->routes[cfg_find_route(cfg, "r3")].repeatable);
 }
 
@@ -97,7 +97,7 @@
 	g_assert_true(e.leaving);
 }
 
-/* Another writer's entries name no server to use. */
+/* Entries of another writer are rejected. */
 static void test_other_writers(void)
 {
 	static const char *const texts[] = {
@@ -263,7 +263,7 @@
 		   FS_E_PROTOCOL);
 }
 
-/* A store that reads a call and says nothing: the call ends by itself. */
+/* A store that accepts a call and never answers: the call times out. */
 static void test_silence(void)
 {
 	expect_err(0, "", FS_E_UNAVAILABLE);
--- a/tests/unit_set.c
+++ b/tests/unit_set.c
@@ -16,7 +16,7 @@
 				 "seeds: [\"10.0.0.1:7000\"]\n"	   /* 9 */
 				 "answer_ttl_ms: 5000\n";	   /* 10 */
 
-/* Replace @find by @with: the error says this. */
+/* Replacing @find by @with gives an error that contains @says. */
 static const struct {
 	const char *find;
 	const char *with;
