--- a/src/adm.c
+++ b/src/adm.c
@@ -11,14 +11,14 @@
 #define PARK_MEANS 1.5
 #define RETRY_AFTER_MIN_US (200 * FS_US_PER_MS)
 
-static int64_t queue_max(const struct adm_numbers *n)
+static int64_t queue_max(const struct adm_input *n)
 {
 	int64_t spare_us = n->objective_us - n->age_us - n->mean_us;
 
 	return (int64_t)((double)MAX(spare_us, 0) * QUEUE_SHARE);
 }
 
-enum adm_verdict adm_decide(const struct adm_numbers *n)
+enum adm_decision adm_decide(const struct adm_input *n)
 {
 	if (n->room && n->wait_us <= queue_max(n))
 		return ADM_SEND;
@@ -30,7 +30,7 @@
 	return ADM_REFUSE;
 }
 
-int64_t adm_retry_after(const struct adm_numbers *n)
+int64_t adm_retry_after(const struct adm_input *n)
 {
 	return MAX(n->wait_us - queue_max(n), RETRY_AFTER_MIN_US);
 }
--- a/src/adm.h
+++ b/src/adm.h
@@ -15,14 +15,14 @@
 
 #include "fs_types.h"
 
-enum adm_verdict {
+enum adm_decision {
 	ADM_SEND,
 	ADM_PARK, /* look again in a moment */
 	ADM_REFUSE,
 };
 
 /** What is known of a request and of the best target for it. */
-struct adm_numbers {
+struct adm_input {
 	int64_t age_us;	      /* since it came */
 	int64_t left_us;      /* until its deadline */
 	int64_t objective_us; /* of its route, from when it came */
@@ -32,9 +32,9 @@
 	bool offered;	      /* a target had it before, and it may go on */
 };
 
-enum adm_verdict adm_decide(const struct adm_numbers *n);
+enum adm_decision adm_decide(const struct adm_input *n);
 
 /** Returns when a refused caller should come back, apart from chance. */
-int64_t adm_retry_after(const struct adm_numbers *n);
+int64_t adm_retry_after(const struct adm_input *n);
 
 #endif
--- a/src/aud_replay_fleet.c
+++ b/src/aud_replay_fleet.c
@@ -83,8 +83,8 @@
 	if (!c->params)
 		return NULL;
 	if (back)
-		return hlt_rule_return(c->params, c->n[0], c->n[1], c->n[2] + 1,
-				       c->n[3]) ?
+		return hlt_rule_reinstate(c->params, c->n[0], c->n[1],
+					  c->n[2] + 1, c->n[3]) ?
 			       NULL :
 			       "too few good answers or too short a time";
 	return hlt_rule_clear(c->params, c->n[0], c->n[1], c->n[2], c->n[3]) ?
@@ -117,8 +117,8 @@
 
 static const char *check_steer_floor(const struct aud_case *c)
 {
-	int64_t room =
-		hlt_steer_room(c->n[1], c->n[2], c->n[3], c->n[4], c->n[5]);
+	int64_t room = hlt_steering_headroom(c->n[1], c->n[2], c->n[3], c->n[4],
+					     c->n[5]);
 
 	if (c->n[0] <= room)
 		return "steered is within the shard's room";
@@ -131,7 +131,7 @@
 {
 	int64_t judged = c->n[5];
 
-	if (!flr_room(c->n[0], c->n[1], c->n[2]))
+	if (!flr_has_headroom(c->n[0], c->n[1], c->n[2]))
 		return "count - out - 1 < floor: the floor is broken";
 	if (judged < AUD_R_STEER_STALL || judged > AUD_R_STEER_CONNECT)
 		return "judged is not a rule that calls a server sick";
@@ -145,7 +145,7 @@
 
 static const char *check_eject_floor(const struct aud_case *c)
 {
-	if (flr_room(c->n[0], c->n[1], c->n[2]))
+	if (flr_has_headroom(c->n[0], c->n[1], c->n[2]))
 		return "count - out - 1 >= floor: there was room";
 	if (check_choice(c, "kept"))
 		return check_choice(c, "kept");
@@ -154,7 +154,7 @@
 
 static const char *check_common(const struct aud_case *c)
 {
-	if (c->params && !hlt_rule_common(c->params, c->n[0], c->n[1]))
+	if (c->params && !hlt_rule_common_cause(c->params, c->n[0], c->n[1]))
 		return "not most of the servers were sick";
 	return check_choice(c, "kept");
 }
--- a/src/aud_replay_request.c
+++ b/src/aud_replay_request.c
@@ -133,7 +133,7 @@
 
 static bool retry_allowed(const struct aud_case *c)
 {
-	struct rty_numbers n = {
+	struct rty_input n = {
 		.repeatable = c->n[0],
 		.written = c->n[1],
 		.begun = c->n[2],
--- a/src/bal.c
+++ b/src/bal.c
@@ -37,7 +37,7 @@
 #define TRIAL_SHARE_MAX 0.9 /* of requests */
 #define RATE_MIN 0.5	    /* requests a second; fewer are not measured well */
 
-struct bal_target *bal_of(struct dir_target *target, int64_t now_us)
+struct bal_target *bal_target_get(struct dir_target *target, int64_t now_us)
 {
 	struct bal_target *kept = target->judge;
 
@@ -53,7 +53,7 @@
 	return kept;
 }
 
-int64_t bal_wait(const struct dir_target *target, int64_t mean_us)
+int64_t bal_expected_wait(const struct dir_target *target, int64_t mean_us)
 {
 	const struct bal_target *kept = target->judge;
 	int64_t slots = MAX(target->entry.slots, 1);
@@ -71,7 +71,7 @@
 
 void bal_note_full(struct dir_target *target, int64_t now_us)
 {
-	struct bal_target *kept = bal_of(target, now_us);
+	struct bal_target *kept = bal_target_get(target, now_us);
 
 	kept->full_at = MAX(busy_of(kept), target->entry.slots);
 }
@@ -84,7 +84,7 @@
 	       busy_of(kept) >= kept->full_at;
 }
 
-static bool is_avoided(const struct bal_wish *wish,
+static bool is_avoided(const struct bal_query *wish,
 		       const struct dir_target *target)
 {
 	for (uint32_t i = 0; i < wish->avoid_count; i++) {
@@ -115,15 +115,15 @@
 	return target->warm_us > now_us ? us * COLD_FACTOR : us;
 }
 
-static double cost_of(struct dir_target *target, const struct bal_wish *wish,
+static double cost_of(struct dir_target *target, const struct bal_query *wish,
 		      struct bal_choice *out)
 {
-	struct bal_target *kept = bal_of(target, wish->now_us);
+	struct bal_target *kept = bal_target_get(target, wish->now_us);
 	int64_t mean_us = wish->mean_us ? wish->mean_us : MEAN_DEFAULT_US;
 	double us = work_us(target, kept, (double)mean_us, wish->now_us);
 
-	out->wait_us = bal_wait(target, mean_us);
-	out->failure = gry_failure(&kept->gry, wish->now_us);
+	out->wait_us = bal_expected_wait(target, mean_us);
+	out->failure = gry_failure_probability(&kept->gry, wish->now_us);
 	us += (double)out->wait_us * gry_slowness(&kept->gry, wish->now_us);
 	us += out->failure * (double)wish->failure_us;
 	if (strcmp(target->entry.domain, wish->domain) != 0)
@@ -132,7 +132,7 @@
 }
 
 static bool may_take(const struct dir_target *target,
-		     const struct bal_wish *wish)
+		     const struct bal_query *wish)
 {
 	const struct bal_target *kept = target->judge;
 
@@ -192,11 +192,11 @@
 }
 
 static const struct rest *rest_of(const struct bal_target *kept,
-				  const struct bal_wish *wish)
+				  const struct bal_query *wish)
 {
 	const struct gry *gry = &kept->gry;
 	double slowness = gry_slowness(gry, wish->now_us);
-	double failure = gry_failure(gry, wish->now_us);
+	double failure = gry_failure_probability(gry, wish->now_us);
 
 	if (slowness >= SLOW)
 		return &rest_slow;
@@ -213,9 +213,9 @@
 /* Returns the share of this node's requests that should go to a target because
  * it is due; 0 if it is not. A doubtful target gets less at a time, so that work
  * which hangs there does not pile up. */
-static double due_share(struct dir_target *target, const struct bal_wish *wish)
+static double due_share(struct dir_target *target, const struct bal_query *wish)
 {
-	const struct bal_target *kept = bal_of(target, wish->now_us);
+	const struct bal_target *kept = bal_target_get(target, wish->now_us);
 	const struct rest *rest = rest_of(kept, wish);
 	bool doubtful = rest != &rest_sound;
 	bool far = strcmp(target->entry.domain, wish->domain) != 0;
@@ -240,7 +240,7 @@
  * at the rate that is wanted; which target is left to chance, so that nodes that
  * do not know of each other yet seldom meet. */
 static struct dir_target *choose_due(const struct dir_service *service,
-				     const struct bal_wish *wish,
+				     const struct bal_query *wish,
 				     uint64_t *random)
 {
 	struct dir_target *chosen = NULL;
@@ -263,7 +263,7 @@
 /* Returns the share of targets to leave out. Nothing, while the slots that are
  * free hold what all nodes send until they hear of each other. */
 static double skip_share(const struct dir_service *service,
-			 const struct bal_wish *wish)
+			 const struct bal_query *wish)
 {
 	double unheard = wish->rate * (double)NEWS_US / FS_US_PER_S;
 	double room = 0;
@@ -273,11 +273,12 @@
 	for (uint32_t i = 0; i < service->targets->len; i++) {
 		struct dir_target *target =
 			g_ptr_array_index(service->targets, i);
-		const struct bal_target *kept = bal_of(target, wish->now_us);
+		const struct bal_target *kept =
+			bal_target_get(target, wish->now_us);
 		uint32_t slots = target->entry.slots;
 
 		if (!may_take(target, wish) ||
-		    gry_is_suspect(&kept->gry, wish->now_us))
+		    gry_is_suspected(&kept->gry, wish->now_us))
 			continue;
 		usable++;
 		saturated += busy_of(kept) >= slots;
@@ -290,7 +291,7 @@
 
 /* Returns the cheapest target, each one left out with the chance @p skip. */
 static struct bal_choice choose_cheapest(const struct dir_service *service,
-					 const struct bal_wish *wish,
+					 const struct bal_query *wish,
 					 double skip, uint64_t *random)
 {
 	struct bal_choice best = {0};
@@ -327,7 +328,7 @@
 }
 
 struct bal_choice bal_choose(const struct dir_service *service,
-			     const struct bal_wish *wish)
+			     const struct bal_query *wish)
 {
 	struct bal_choice best = {0};
 	uint64_t random = wish->random | 1;
@@ -346,8 +347,8 @@
 			.target = due,
 			.usable = best.usable,
 			.full = best.full,
-			.failure =
-				gry_failure(&bal_of(due, 0)->gry, wish->now_us),
+			.failure = gry_failure_probability(
+				&bal_target_get(due, 0)->gry, wish->now_us),
 		};
 	return best;
 }
--- a/src/bal.h
+++ b/src/bal.h
@@ -32,7 +32,7 @@
 };
 
 /** What is asked for. */
-struct bal_wish {
+struct bal_query {
 	const char *domain; /* failure domain of this node */
 	int64_t mean_us;    /* mean time of the service's work */
 	int64_t failure_us; /* what a failure costs, as time */
@@ -57,16 +57,16 @@
 };
 
 /** Returns what is kept of a target, made when first asked for. */
-struct bal_target *bal_of(struct dir_target *target, int64_t now_us);
+struct bal_target *bal_target_get(struct dir_target *target, int64_t now_us);
 
 /** Notes that a target refused a request for lack of room. */
 void bal_note_full(struct dir_target *target, int64_t now_us);
 
 /** Chooses among the targets of a service; NULL is allowed. */
 struct bal_choice bal_choose(const struct dir_service *service,
-			     const struct bal_wish *wish);
+			     const struct bal_query *wish);
 
 /** Returns the expected wait for a slot at a target. */
-int64_t bal_wait(const struct dir_target *target, int64_t mean_us);
+int64_t bal_expected_wait(const struct dir_target *target, int64_t mean_us);
 
 #endif
--- a/src/bud.c
+++ b/src/bud.c
@@ -28,18 +28,20 @@
 	return (uint32_t)(bucket % BUD_BUCKETS);
 }
 
-void bud_request(struct bud *bud, const struct bud_rule *rule, int64_t now_us)
+void bud_count_request(struct bud *bud, const struct bud_rule *rule,
+		       int64_t now_us)
 {
 	bud->requests[turn(bud, rule, now_us)]++;
 }
 
-void bud_repeat(struct bud *bud, const struct bud_rule *rule, int64_t now_us)
+void bud_count_retry(struct bud *bud, const struct bud_rule *rule,
+		     int64_t now_us)
 {
 	bud->repeats[turn(bud, rule, now_us)]++;
 }
 
-uint32_t bud_recent(struct bud *bud, const struct bud_rule *rule,
-		    int64_t now_us)
+uint32_t bud_recent_retries(struct bud *bud, const struct bud_rule *rule,
+			    int64_t now_us)
 {
 	uint32_t newest = turn(bud, rule, now_us);
 	uint32_t before = (newest + BUD_BUCKETS - 1) % BUD_BUCKETS;
@@ -47,7 +49,8 @@
 	return bud->repeats[newest] + bud->repeats[before];
 }
 
-double bud_rate(struct bud *bud, const struct bud_rule *rule, int64_t now_us)
+double bud_request_rate(struct bud *bud, const struct bud_rule *rule,
+			int64_t now_us)
 {
 	uint32_t newest = turn(bud, rule, now_us);
 	double width_us = (double)MAX(rule->window_us / BUD_BUCKETS, 1);
@@ -60,8 +63,8 @@
 	       (RATE_BUCKETS * width_us + (double)(now_us % (int64_t)width_us));
 }
 
-double bud_left(struct bud *bud, const struct bud_rule *rule, uint32_t nodes,
-		int64_t now_us)
+double bud_retries_left(struct bud *bud, const struct bud_rule *rule,
+			uint32_t nodes, int64_t now_us)
 {
 	double requests = 0;
 	double repeats = 0;
--- a/src/bud.h
+++ b/src/bud.h
@@ -29,20 +29,23 @@
 };
 
 /** Counts a request that a caller sent. */
-void bud_request(struct bud *bud, const struct bud_rule *rule, int64_t now_us);
+void bud_count_request(struct bud *bud, const struct bud_rule *rule,
+		       int64_t now_us);
 
 /** Returns how many repeats are left. @param nodes  that share the slack */
-double bud_left(struct bud *bud, const struct bud_rule *rule, uint32_t nodes,
-		int64_t now_us);
+double bud_retries_left(struct bud *bud, const struct bud_rule *rule,
+			uint32_t nodes, int64_t now_us);
 
 /** Returns how many repeats were counted in the newest two buckets. */
-uint32_t bud_recent(struct bud *bud, const struct bud_rule *rule,
-		    int64_t now_us);
+uint32_t bud_recent_retries(struct bud *bud, const struct bud_rule *rule,
+			    int64_t now_us);
 
 /** Returns how many requests a second there were in the last seconds. */
-double bud_rate(struct bud *bud, const struct bud_rule *rule, int64_t now_us);
+double bud_request_rate(struct bud *bud, const struct bud_rule *rule,
+			int64_t now_us);
 
 /** Counts a repeat. */
-void bud_repeat(struct bud *bud, const struct bud_rule *rule, int64_t now_us);
+void bud_count_retry(struct bud *bud, const struct bud_rule *rule,
+		     int64_t now_us);
 
 #endif
--- a/src/dir.c
+++ b/src/dir.c
@@ -14,8 +14,8 @@
 	GHashTable *by_hash;  /* hash to the same */
 	GHashTable *services; /* name to struct dir_service */
 	GHashTable *removed;  /* id to struct removed */
-	GDestroyNotify free_judge;
-	dir_gone_fn on_gone;
+	GDestroyNotify free_user_data;
+	dir_removed_fn on_gone;
 	void *on_gone_arg;
 	uint64_t digest;
 };
@@ -29,7 +29,7 @@
 	g_free(service);
 }
 
-struct dir *dir_new(GDestroyNotify free_judge)
+struct dir *dir_new(GDestroyNotify free_user_data)
 {
 	struct dir *dir = g_new0(struct dir, 1);
 
@@ -39,11 +39,11 @@
 					      service_free);
 	dir->removed =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	dir->free_judge = free_judge;
+	dir->free_user_data = free_user_data;
 	return dir;
 }
 
-void dir_on_gone(struct dir *dir, dir_gone_fn fn, void *arg)
+void dir_on_removed(struct dir *dir, dir_removed_fn fn, void *arg)
 {
 	dir->on_gone = fn;
 	dir->on_gone_arg = arg;
@@ -66,8 +66,8 @@
 static void retire(struct dir *dir, struct dir_target *target)
 {
 	target->gone = true;
-	if (dir->free_judge && target->judge)
-		dir->free_judge(target->judge);
+	if (dir->free_user_data && target->judge)
+		dir->free_user_data(target->judge);
 	target->judge = NULL;
 }
 
@@ -283,7 +283,7 @@
 	const struct removed *removed = value;
 
 	(void)id;
-	return *(int64_t *)now - removed->at_us > DIR_REMOVED_KEEP_US;
+	return *(int64_t *)now - removed->at_us > DIR_TOMBSTONE_RETENTION_US;
 }
 
 void dir_tick(struct dir *dir, int64_t now_us)
@@ -315,9 +315,9 @@
 		fn(arg, target);
 }
 
-void dir_each_removed(const struct dir *dir,
-		      void (*fn)(void *arg, const char *id, uint64_t rev),
-		      void *arg)
+void dir_each_tombstone(const struct dir *dir,
+			void (*fn)(void *arg, const char *id, uint64_t rev),
+			void *arg)
 {
 	GHashTableIter iter;
 	void *id;
--- a/src/dir.h
+++ b/src/dir.h
@@ -21,8 +21,9 @@
 #include "fs_err.h"
 #include "fs_types.h"
 
-#define DIR_TARGETS_MAX 20000		       /* three times the design size */
-#define DIR_REMOVED_KEEP_US (60 * FS_US_PER_S) /* longer than any delay */
+#define DIR_TARGETS_MAX 20000 /* three times the design size */
+#define DIR_TOMBSTONE_RETENTION_US \
+	(60 * FS_US_PER_S) /* longer than any delay */
 
 /** One server's entry, decoded. */
 struct dir_entry {
@@ -47,7 +48,7 @@
 	int64_t joined_us;  /* when this directory learned of it */
 	bool listed;	    /* seen by the list being read */
 	bool gone;	    /* no longer in the directory */
-	void *judge;	    /* what its user keeps of it, freed by free_judge */
+	void *judge; /* what its user keeps of it, freed by free_user_data */
 };
 
 /** All targets of one service. */
@@ -59,15 +60,15 @@
 struct dir;
 
 /** Called for each target that leaves the directory. */
-typedef void (*dir_gone_fn)(void *arg, const struct dir_target *target,
-			    uint64_t rev);
+typedef void (*dir_removed_fn)(void *arg, const struct dir_target *target,
+			       uint64_t rev);
 
-/** Makes a directory. @param free_judge frees dir_target.judge */
-struct dir *dir_new(GDestroyNotify free_judge);
+/** Makes a directory. @param free_user_data frees dir_target.judge */
+struct dir *dir_new(GDestroyNotify free_user_data);
 void dir_free(struct dir *dir);
 
 /** Names the function that is told of targets that are gone. */
-void dir_on_gone(struct dir *dir, dir_gone_fn fn, void *arg);
+void dir_on_removed(struct dir *dir, dir_removed_fn fn, void *arg);
 
 /** Returns the service @p name, or NULL if it has no target. */
 const struct dir_service *dir_find(const struct dir *dir, const char *name);
@@ -111,9 +112,9 @@
 	      void *arg);
 
 /** Calls @p fn for each removal that is remembered. */
-void dir_each_removed(const struct dir *dir,
-		      void (*fn)(void *arg, const char *id, uint64_t rev),
-		      void *arg);
+void dir_each_tombstone(const struct dir *dir,
+			void (*fn)(void *arg, const char *id, uint64_t rev),
+			void *arg);
 
 /** Returns how many targets there are. */
 uint32_t dir_count(const struct dir *dir);
--- a/src/dsp_admit.c
+++ b/src/dsp_admit.c
@@ -28,14 +28,15 @@
 }
 
 void dsp_admit_numbers(const struct dsp_run *run, int64_t now_us,
-		       struct slt_numbers *n)
+		       struct slt_inputs *n)
 {
 	const struct dsp_shard *shard = run->shard;
 	struct slt_server slots[FS_SHARD_SERVERS_MAX];
 
 	memset(n, 0, sizeof(*n));
 	n->remaining_us = run->deadline_us - now_us;
-	n->need_us = slt_need(&dsp_route_of(run)->whole, run->allowed_us);
+	n->service_time_us =
+		slt_service_time(&dsp_route_of(run)->whole, run->allowed_us);
 	if (!shard)
 		return;
 	dsp_shard_slots(shard, run->repeatable, now_us, slots);
@@ -43,12 +44,12 @@
 		if (slots[i].leaving)
 			continue;
 		n->usable += slots[i].allowed;
-		if (slt_room(&slots[i]))
+		if (slt_has_capacity(&slots[i]))
 			n->free_slots += slots[i].allowed - slots[i].in_flight;
 	}
 	n->waiting = shard->que.count;
 	n->queue = dsp_shard_service(shard)->queue;
-	n->ahead = que_ahead(&shard->que, run->priority);
+	n->ahead = que_count_ahead(&shard->que, run->priority);
 	n->hold_us = slt_times_mean(&shard->hold);
 }
 
@@ -157,9 +158,10 @@
 /* Makes room in a full queue at the cost of a lower priority. */
 static int shed(struct dsp_run *run, int64_t now_us)
 {
-	struct que_item *item = que_victim(&run->shard->que, run->priority);
+	struct que_item *item =
+		que_find_evictable(&run->shard->que, run->priority);
 	struct dsp_run *victim;
-	struct slt_numbers n;
+	struct slt_inputs n;
 
 	if (!item)
 		return FS_E_QUEUE_FULL;
@@ -174,7 +176,7 @@
 
 static int admit(struct dsp_run *run, int64_t now_us)
 {
-	struct slt_numbers n;
+	struct slt_inputs n;
 	int key_err;
 	int err;
 
@@ -182,7 +184,7 @@
 	err = slt_admit(&n);
 	if (err && err != FS_E_QUEUE_FULL)
 		return err;
-	if (err && !que_victim(&run->shard->que, run->priority))
+	if (err && !que_find_evictable(&run->shard->que, run->priority))
 		return err;
 	key_err = take_key(run, now_us);
 	if (key_err)
@@ -196,7 +198,7 @@
 	enum dsp_seen_state state = dsp_seen_find(dsp->seen, id, NULL);
 	struct dsp_shard *shard = NULL;
 	struct dsp_run *run;
-	struct slt_numbers n;
+	struct slt_inputs n;
 	handle route = FS_NONE;
 	int err;
 
--- a/src/dsp_audit.c
+++ b/src/dsp_audit.c
@@ -38,7 +38,7 @@
 }
 
 static void add_numbers(struct aud_record *rec, const struct dsp_run *run,
-			const struct slt_numbers *n)
+			const struct slt_inputs *n)
 {
 	switch (rec->rule) {
 	case AUD_R_QUEUE_FULL:
@@ -102,9 +102,9 @@
 }
 
 void dsp_audit_refusal(const struct dsp_run *run, int err,
-		       const struct slt_numbers *n, int64_t now_us)
+		       const struct slt_inputs *n, int64_t now_us)
 {
-	struct slt_numbers none = {
+	struct slt_inputs none = {
 		.remaining_us = run->deadline_us - now_us,
 	};
 	struct aud_record rec;
@@ -131,7 +131,7 @@
 	aud_emit(dsp->node->aud, &rec);
 }
 
-void dsp_audit_retry(const struct dsp_run *run, const struct rty_numbers *n,
+void dsp_audit_retry(const struct dsp_run *run, const struct rty_input *n,
 		     bool allowed, int64_t now_us)
 {
 	struct aud_record rec;
@@ -139,7 +139,7 @@
 	aud_begin(&rec, AUD_RETRY, allowed ? AUD_R_RETRY : AUD_R_NO_RETRY,
 		  version_of(run->dsp), now_us);
 	fill_run(&rec, run);
-	rty_add_numbers(&rec, n, allowed);
+	rty_add_input(&rec, n, allowed);
 	aud_emit(run->dsp->node->aud, &rec);
 }
 
--- a/src/dsp_exchange.c
+++ b/src/dsp_exchange.c
@@ -15,7 +15,7 @@
 }
 
 static enum hlt_result result_of(const struct dsp_run *run,
-				 const struct tgt_end *end)
+				 const struct tgt_result *end)
 {
 	uint32_t status = tgt_status(run->tgt);
 
@@ -23,7 +23,7 @@
 	case 0:
 		if (is_not_run(run, status))
 			return HLT_REFUSED;
-		return status >= 500 ? HLT_SERVER_ERROR : HLT_GOOD;
+		return status >= 500 ? HLT_SERVER_ERROR : HLT_SUCCESS;
 	case FS_E_CONNECT:
 		return HLT_CONNECT_FAILED;
 	case FS_E_DEADLINE:
@@ -34,7 +34,7 @@
 	case FS_E_TARGET_RESET:
 		return HLT_RESET;
 	default:
-		return HLT_BAD_ANSWER;
+		return HLT_INVALID_ANSWER;
 	}
 }
 
@@ -53,7 +53,8 @@
 		return;
 	slt_times_add(&run->shard->hold, now_us - run->started_us);
 	if (i != FS_NONE)
-		hlt_finished(run->shard->hlt, i, run->token, end, now_us);
+		hlt_request_finished(run->shard->hlt, i, run->token, end,
+				     now_us);
 }
 
 void dsp_exchange_stop(struct dsp_run *run, int64_t now_us)
@@ -70,7 +71,7 @@
 }
 
 bool dsp_exchange_again(struct dsp_run *run, bool written, bool same,
-			int64_t now_us, struct rty_numbers *n)
+			int64_t now_us, struct rty_input *n)
 {
 	const char *service = run->m->request.service;
 
@@ -92,7 +93,7 @@
 static bool decide_again(struct dsp_run *run, bool written, bool same,
 			 int64_t now_us)
 {
-	struct rty_numbers n;
+	struct rty_input n;
 	bool again = dsp_exchange_again(run, written, same, now_us, &n);
 
 	dsp_audit_retry(run, &n, again, now_us);
@@ -110,7 +111,7 @@
 	run->tgt = NULL;
 }
 
-static void note_good(struct dsp_run *run, const struct tgt_end *end,
+static void note_good(struct dsp_run *run, const struct tgt_result *end,
 		      int64_t now_us)
 {
 	struct dsp_route *route = dsp_route_of(run);
@@ -120,7 +121,7 @@
 }
 
 /* A whole answer: passed on, unless another try may do better. */
-static void answered(struct dsp_run *run, const struct tgt_end *end,
+static void answered(struct dsp_run *run, const struct tgt_result *end,
 		     int64_t now_us)
 {
 	uint32_t status = tgt_status(run->tgt);
@@ -151,7 +152,7 @@
 	dsp_run_end(run, outcome, now_us);
 }
 
-static void failed(struct dsp_run *run, const struct tgt_end *end,
+static void failed(struct dsp_run *run, const struct tgt_result *end,
 		   int64_t now_us)
 {
 	int err = end->err;
@@ -175,7 +176,7 @@
 	dsp_run_refuse(run, err, dsp_run_outcome(run), 0, now_us);
 }
 
-static void on_done(void *arg, struct tgt *tgt, const struct tgt_end *end)
+static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *end)
 {
 	struct dsp_run *run = arg;
 	struct dsp_shard *shard = run->shard;
@@ -214,7 +215,7 @@
 static bool on_silent(void *arg, struct tgt *tgt)
 {
 	struct dsp_run *run = arg;
-	struct rty_numbers n;
+	struct rty_input n;
 
 	return dsp_exchange_again(run, tgt_written(tgt), tgt_reused(tgt),
 				  fs_now_us(), &n);
@@ -264,8 +265,8 @@
 	run->tried[run->tries++] = server;
 	run->running = true;
 	run->started_us = now_us;
-	run->token =
-		hlt_started(shard->hlt, i, run->deadline_us - now_us, now_us);
+	run->token = hlt_request_started(shard->hlt, i,
+					 run->deadline_us - now_us, now_us);
 	request.head_us = head_limit(run, now_us);
 	run->tgt =
 		tgt_start(run->dsp->pool, &request, &exchange_ops, run, now_us);
--- a/src/dsp_impl.h
+++ b/src/dsp_impl.h
@@ -152,7 +152,7 @@
 void dsp_admit(struct dsp *dsp, struct msg *m, int64_t now_us);
 /** Fills in the numbers of an admission. */
 void dsp_admit_numbers(const struct dsp_run *run, int64_t now_us,
-		       struct slt_numbers *n);
+		       struct slt_inputs *n);
 
 /** Returns what is known of a run's route, made if need be. */
 struct dsp_route *dsp_route_of(const struct dsp_run *run);
@@ -191,7 +191,7 @@
 void dsp_exchange_stop(struct dsp_run *run, int64_t now_us);
 /** Returns whether the run may be tried again now. */
 bool dsp_exchange_again(struct dsp_run *run, bool written, bool same,
-			int64_t now_us, struct rty_numbers *n);
+			int64_t now_us, struct rty_input *n);
 
 /* dsp_stream.c: long answers */
 void dsp_stream_begin(struct dsp_run *run, int64_t now_us);
@@ -213,11 +213,11 @@
 
 /* dsp_audit.c: records */
 void dsp_audit_refusal(const struct dsp_run *run, int err,
-		       const struct slt_numbers *n, int64_t now_us);
+		       const struct slt_inputs *n, int64_t now_us);
 /** A refusal of a request that was not taken. */
 void dsp_audit_turned_away(struct dsp *dsp, const struct msg_request *request,
 			   int err, int64_t now_us);
-void dsp_audit_retry(const struct dsp_run *run, const struct rty_numbers *n,
+void dsp_audit_retry(const struct dsp_run *run, const struct rty_input *n,
 		     bool allowed, int64_t now_us);
 void dsp_audit_drain(struct dsp *dsp, const char *service, const char *server,
 		     const char *choice, int64_t now_us);
--- a/src/dsp_judge.c
+++ b/src/dsp_judge.c
@@ -10,7 +10,7 @@
 	m->eject_ask.service = g_strdup(dsp_shard_service(shard)->name);
 	m->eject_ask.server = g_strdup(shard->servers[i]->name);
 	m->eject_ask.rule = g_strdup(aud_rule_name(rule));
-	m->eject_ask.give_back = action == HLT_ACT_ASK_RETURN;
+	m->eject_ask.give_back = action == HLT_ACT_REQUEST_REINSTATEMENT;
 	bus_send(dsp->node->bus, m);
 }
 
@@ -73,8 +73,8 @@
 			if (!g_str_equal(shard->servers[i]->name,
 					 m->probe_told.server))
 				continue;
-			hlt_probed(shard->hlt, i, m->probe_told.reachable,
-				   now_us);
+			hlt_probe_finished(shard->hlt, i,
+					   m->probe_told.reachable, now_us);
 			dsp_leave_answer(shard, shard->servers[i],
 					 m->probe_told.draining, now_us);
 		}
@@ -106,7 +106,7 @@
 	g_hash_table_iter_init(&iter, dsp->shards);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard)) {
 		if (shard->shard->service == service &&
-		    hlt_shard_sick(shard->hlt))
+		    hlt_shard_unhealthy(shard->hlt))
 			return true;
 	}
 	return is_mostly_out(dsp, service);
@@ -124,6 +124,6 @@
 
 		for (uint32_t i = 0; i < service->depends_count; i++)
 			sick |= is_sick(dsp, service->depends_on[i]);
-		hlt_set_dependency_sick(shard->hlt, sick);
+		hlt_set_dependency_unhealthy(shard->hlt, sick);
 	}
 }
--- a/src/dsp_reply.c
+++ b/src/dsp_reply.c
@@ -19,9 +19,10 @@
 	a->id = run->id;
 	a->status = tgt_status(run->tgt);
 	a->outcome = outcome;
-	a->headers = tgt_take_headers(run->tgt);
+	a->headers = tgt_steal_headers(run->tgt);
 	a->length = tgt_length(run->tgt);
-	a->data = tgt_take(run->tgt, last ? SIZE_MAX : FS_ANSWER_WHOLE_MAX);
+	a->data =
+		tgt_read_body(run->tgt, last ? SIZE_MAX : FS_ANSWER_WHOLE_MAX);
 	a->last = last;
 	a->load = dsp_shard_load(run->shard, now_us);
 	a->server = g_strdup(dsp_run_server(run)->name);
--- a/src/dsp_run.c
+++ b/src/dsp_run.c
@@ -66,7 +66,7 @@
 /* An error that leaves the outcome unknown goes before one that does not. */
 void dsp_run_give_up(struct dsp_run *run, int err, int64_t now_us)
 {
-	struct slt_numbers n;
+	struct slt_inputs n;
 
 	if (run->written)
 		err = run->err;
@@ -182,9 +182,10 @@
 		if (!item)
 			return;
 		run = run_of(item);
-		if (slt_wait_too_long(slt_need(&dsp_route_of(run)->whole,
-					       run->allowed_us),
-				      run->deadline_us - now_us)) {
+		if (slt_wait_too_long(
+			    slt_service_time(&dsp_route_of(run)->whole,
+					     run->allowed_us),
+			    run->deadline_us - now_us)) {
 			dsp_run_give_up(run, FS_E_WAIT_TOO_LONG, now_us);
 			continue;
 		}
--- a/src/dsp_shard.c
+++ b/src/dsp_shard.c
@@ -125,7 +125,7 @@
 		shard = shard_new(dsp, h, now_us);
 		shard->hold = old->hold;
 		shard->rotate = old->rotate;
-		hlt_shard_adopt(shard->hlt, dsp->cfg, old->hlt, old->cfg);
+		hlt_shard_copy_state(shard->hlt, dsp->cfg, old->hlt, old->cfg);
 		g_hash_table_insert(dsp->shards, shard->key, shard);
 		dsp_judge_apply(shard, now_us);
 	}
@@ -194,13 +194,13 @@
 	uint32_t slots = dsp_shard_service(shard)->slots;
 
 	for (uint32_t i = 0; i < shard->count; i++) {
-		uint32_t allowed =
-			hlt_allowed(shard->hlt, i, repeatable, now_us);
+		uint32_t allowed = hlt_concurrency_limit(shard->hlt, i,
+							 repeatable, now_us);
 
 		out[i].in_flight = shard->servers[i]->in_flight;
 		out[i].allowed = MIN(allowed, slots);
 		out[i].leaving = dsp_server_leaving(shard, i);
-		out[i].last = hlt_kept_for_floor(shard->hlt, i);
+		out[i].last = hlt_retained_for_floor(shard->hlt, i);
 	}
 }
 
@@ -213,7 +213,7 @@
 		return load;
 	dsp_shard_slots(shard, true, now_us, slots);
 	for (uint32_t i = 0; i < shard->count; i++) {
-		if (slt_room(&slots[i]))
+		if (slt_has_capacity(&slots[i]))
 			load.free_slots +=
 				slots[i].allowed - slots[i].in_flight;
 	}
--- a/src/dsp_status.c
+++ b/src/dsp_status.c
@@ -3,8 +3,8 @@
 static const char *level_name(enum hlt_level level)
 {
 	static const char *const names[] = {
-		[HLT_FIT] = "fit",
-		[HLT_SUSPECT] = "suspect",
+		[HLT_HEALTHY] = "fit",
+		[HLT_SUSPECTED] = "suspect",
 		[HLT_TRIAL] = "trial",
 		[HLT_EJECTED] = "ejected",
 	};
@@ -17,14 +17,14 @@
 {
 	g_string_append(out, "{\"name\":");
 	fs_json_string(out, shard->servers[i]->name);
-	g_string_append_printf(out,
-			       ",\"in_flight\":%u,\"slots\":%u,\"allowed\":%u,"
-			       "\"level\":\"%s\",\"leaving\":%s}",
-			       shard->servers[i]->in_flight,
-			       dsp_shard_service(shard)->slots,
-			       hlt_allowed(shard->hlt, i, true, now_us),
-			       level_name(hlt_level(shard->hlt, i)),
-			       dsp_server_leaving(shard, i) ? "true" : "false");
+	g_string_append_printf(
+		out,
+		",\"in_flight\":%u,\"slots\":%u,\"allowed\":%u,"
+		"\"level\":\"%s\",\"leaving\":%s}",
+		shard->servers[i]->in_flight, dsp_shard_service(shard)->slots,
+		hlt_concurrency_limit(shard->hlt, i, true, now_us),
+		level_name(hlt_level(shard->hlt, i)),
+		dsp_server_leaving(shard, i) ? "true" : "false");
 }
 
 static void write_shard(const struct dsp_shard *shard, GString *out,
--- a/src/dsp_stream.c
+++ b/src/dsp_stream.c
@@ -14,7 +14,7 @@
 
 	m->piece.id = run->id;
 	m->piece.offset = run->sent;
-	m->piece.data = tgt_take(run->tgt, size);
+	m->piece.data = tgt_read_body(run->tgt, size);
 	m->piece.last = last;
 	run->sent += size;
 	bus_send(run->dsp->node->bus, m);
@@ -22,7 +22,7 @@
 
 void dsp_stream_send(struct dsp_run *run, int64_t now_us)
 {
-	size_t waiting = tgt_waiting(run->tgt);
+	size_t waiting = tgt_buffered_bytes(run->tgt);
 
 	while (waiting && run->sent < run->credit) {
 		size_t room = (size_t)(run->credit - run->sent);
--- a/src/ejc.c
+++ b/src/ejc.c
@@ -77,10 +77,10 @@
 		service = g_hash_table_lookup(ejc->services,
 					      m->eject_ask.service);
 		if (service)
-			ejc_service_ask(service, &m->eject_ask, now_us);
+			ejc_service_request(service, &m->eject_ask, now_us);
 		break;
 	case MSG_PROBE_TOLD:
-		ejc_path_told(ejc, &m->probe_told, now_us);
+		ejc_path_receive(ejc, &m->probe_told, now_us);
 		break;
 	default:
 		break;
--- a/src/ejc_impl.h
+++ b/src/ejc_impl.h
@@ -9,10 +9,10 @@
 #include "node.h"
 #include "shd.h"
 
-#define EJC_WITNESSES 2			 /* nodes asked about a path */
-#define EJC_PATH_WAIT_US 2500000	 /* for their answers */
-#define EJC_PATH_KEEP_US 30000000	 /* an answer holds so long */
-#define EJC_REPEAT_US (60 * FS_US_PER_S) /* same refusal: one record */
+#define EJC_WITNESSES 2				/* nodes asked about a path */
+#define EJC_PATH_TIMEOUT_US 2500000		/* for their answers */
+#define EJC_PATH_CACHE_US 30000000		/* an answer holds so long */
+#define EJC_REFUSAL_DEDUP_US (60 * FS_US_PER_S) /* same refusal: one record */
 
 /** Whether other failure domains reach a server. */
 struct ejc_path {
@@ -59,22 +59,23 @@
 void ejc_service_tick(struct ejc_service *service, int64_t now_us);
 
 /** Takes a wish of the dispatcher. */
-void ejc_service_ask(struct ejc_service *service,
-		     const struct msg_eject_ask *ask, int64_t now_us);
+void ejc_service_request(struct ejc_service *service,
+			 const struct msg_eject_ask *ask, int64_t now_us);
 
 /** Fills in the scope of a service. @return false if it left the text */
 bool ejc_scope(const struct ejc_service *service, struct flr_scope *out);
 
 /** Returns what is kept of a server; made when missing. */
-struct ejc_server *ejc_server_of(struct ejc_service *service, const char *name);
+struct ejc_server *ejc_server_get(struct ejc_service *service,
+				  const char *name);
 
 /** Asks nodes of other failure domains whether they reach a server. */
-void ejc_path_ask(struct ejc_service *service, const char *server,
-		  int64_t now_us);
+void ejc_path_query(struct ejc_service *service, const char *server,
+		    int64_t now_us);
 
 /** Takes an answer. */
-void ejc_path_told(struct ejc *ejc, const struct msg_probe_told *told,
-		   int64_t now_us);
+void ejc_path_receive(struct ejc *ejc, const struct msg_probe_told *told,
+		      int64_t now_us);
 
 /** Settles questions whose answers are all in, or late. */
 void ejc_path_tick(struct ejc_service *service, int64_t now_us);
--- a/src/ejc_path.c
+++ b/src/ejc_path.c
@@ -55,11 +55,11 @@
 	return asked;
 }
 
-void ejc_path_ask(struct ejc_service *service, const char *server,
-		  int64_t now_us)
+void ejc_path_query(struct ejc_service *service, const char *server,
+		    int64_t now_us)
 {
 	struct ejc *ejc = service->ejc;
-	struct ejc_path *path = &ejc_server_of(service, server)->path;
+	struct ejc_path *path = &ejc_server_get(service, server)->path;
 
 	if (!ejc->view)
 		return;
@@ -92,8 +92,8 @@
 	return NULL;
 }
 
-void ejc_path_told(struct ejc *ejc, const struct msg_probe_told *told,
-		   int64_t now_us)
+void ejc_path_receive(struct ejc *ejc, const struct msg_probe_told *told,
+		      int64_t now_us)
 {
 	struct ejc_path *path = find_path(ejc, told);
 
@@ -114,7 +114,7 @@
 		ejc_record_path(service, name, path, now_us);
 		return;
 	}
-	flr_sync_ask(service->sync, name, server->judged, false, now_us);
+	flr_sync_request(service->sync, name, server->judged, false, now_us);
 	path->serial = 0;
 }
 
@@ -131,7 +131,7 @@
 
 		if (path->open &&
 		    (path->told == path->witnesses || path->reached ||
-		     now_us - path->asked_us >= EJC_PATH_WAIT_US))
+		     now_us - path->asked_us >= EJC_PATH_TIMEOUT_US))
 			settle(service, name, server, now_us);
 	}
 }
--- a/src/ejc_record.c
+++ b/src/ejc_record.c
@@ -4,10 +4,10 @@
 static bool is_repeated(struct ejc_service *service, const char *name,
 			enum aud_rule rule, int64_t now_us)
 {
-	struct ejc_server *server = ejc_server_of(service, name);
+	struct ejc_server *server = ejc_server_get(service, name);
 
 	if (server->refused == rule &&
-	    now_us - server->refused_us < EJC_REPEAT_US)
+	    now_us - server->refused_us < EJC_REFUSAL_DEDUP_US)
 		return true;
 	server->refused = rule;
 	server->refused_us = now_us;
@@ -73,7 +73,7 @@
 	    is_repeated(service, decision->server, rule, now_us))
 		return;
 	if (!decision->err)
-		ejc_server_of(service, decision->server)->refused =
+		ejc_server_get(service, decision->server)->refused =
 			AUD_RULE_COUNT;
 	begin_record(service, decision->server, rule,
 		     rule == AUD_R_EJECT  ? "ejected" :
--- a/src/ejc_service.c
+++ b/src/ejc_service.c
@@ -47,7 +47,7 @@
 	return out->service != FS_NONE;
 }
 
-struct ejc_server *ejc_server_of(struct ejc_service *service, const char *name)
+struct ejc_server *ejc_server_get(struct ejc_service *service, const char *name)
 {
 	struct ejc_server *server = g_hash_table_lookup(service->servers, name);
 
@@ -98,8 +98,9 @@
 
 	if (!ejc_scope(service, &scope))
 		return;
-	flr_sync_read(service->sync, &scope, err, value ? value->revision : 0,
-		      value && value->data ? value->data : "", now_us);
+	flr_sync_read_done(service->sync, &scope, err,
+			   value ? value->revision : 0,
+			   value && value->data ? value->data : "", now_us);
 	tell_news(service, now_us);
 }
 
@@ -111,8 +112,8 @@
 
 	if (!ejc_scope(service, &scope))
 		return;
-	flr_sync_wrote(service->sync, &scope, err, value ? value->revision : 0,
-		       now_us);
+	flr_sync_write_done(service->sync, &scope, err,
+			    value ? value->revision : 0, now_us);
 	tell_news(service, now_us);
 }
 
@@ -140,20 +141,20 @@
 	tell_news(service, now_us);
 }
 
-void ejc_service_ask(struct ejc_service *service,
-		     const struct msg_eject_ask *ask, int64_t now_us)
+void ejc_service_request(struct ejc_service *service,
+			 const struct msg_eject_ask *ask, int64_t now_us)
 {
 	enum aud_rule judged = aud_rule_by_name(ask->rule);
-	struct ejc_server *server = ejc_server_of(service, ask->server);
+	struct ejc_server *server = ejc_server_get(service, ask->server);
 
 	if (ask->give_back || judged != AUD_R_STEER_CONNECT) {
-		flr_sync_ask(service->sync, ask->server, judged, ask->give_back,
-			     now_us);
+		flr_sync_request(service->sync, ask->server, judged,
+				 ask->give_back, now_us);
 		return;
 	}
 	server->judged = judged;
 	if (!server->path.open &&
 	    (!server->path.serial ||
-	     now_us - server->path.asked_us >= EJC_PATH_KEEP_US))
-		ejc_path_ask(service, ask->server, now_us);
+	     now_us - server->path.asked_us >= EJC_PATH_CACHE_US))
+		ejc_path_query(service, ask->server, now_us);
 }
--- a/src/ent.h
+++ b/src/ent.h
@@ -210,7 +210,7 @@
 
 /** Records whether a request is sent to another dispatcher after a loss. */
 void ent_record_retry(const struct ent_request *req, bool allowed,
-		      const struct rty_numbers *numbers, int64_t now_us);
+		      const struct rty_input *numbers, int64_t now_us);
 
 /* Entry addresses (ent_entries.c). */
 
--- a/src/ent_lost.c
+++ b/src/ent_lost.c
@@ -54,7 +54,7 @@
 	const char *service = req->cfg->services[req->service].name;
 	struct rty_budget *budget =
 		g_hash_table_lookup(req->ent->budgets, service);
-	struct rty_numbers numbers = {
+	struct rty_input numbers = {
 		.repeatable = route->repeatable,
 		.written = 1,
 		.begun = 0,
--- a/src/ent_record.c
+++ b/src/ent_record.c
@@ -30,12 +30,12 @@
 }
 
 void ent_record_retry(const struct ent_request *req, bool allowed,
-		      const struct rty_numbers *n, int64_t now_us)
+		      const struct rty_input *n, int64_t now_us)
 {
 	struct aud_record rec;
 
 	begin(req, &rec, AUD_RETRY, allowed ? AUD_R_RETRY : AUD_R_NO_RETRY,
 	      now_us);
-	rty_add_numbers(&rec, n, allowed);
+	rty_add_input(&rec, n, allowed);
 	aud_emit(req->ent->node->aud, &rec);
 }
--- a/src/fed.c
+++ b/src/fed.c
@@ -209,7 +209,7 @@
 	fed->last_rx_us = fed->local_rx_us = fed->listed_us =
 		now_us - 2 * FED_READER_TIMEOUT_US;
 	fed_read_init(fed);
-	dir_on_gone(dir, fed_queue_removal, fed);
+	dir_on_removed(dir, fed_queue_removal, fed);
 	bus_attach(node->bus, MSG_TASK_CONFIG, &ops, fed);
 	node_add_status(node, "feed", write_status, fed);
 	node_add_tick(node, on_tick, fed);
@@ -223,7 +223,7 @@
 	if (!fed)
 		return;
 	kvs = &fed->platform.kvs;
-	dir_on_gone(fed->dir, NULL, NULL);
+	dir_on_removed(fed->dir, NULL, NULL);
 	kvs->ops->cancel(kvs->store, &fed->targets);
 	kvs->ops->cancel(kvs->store, &fed->config);
 	kvs->ops->cancel(kvs->store, fed);
--- a/src/fed_tell.c
+++ b/src/fed_tell.c
@@ -191,6 +191,6 @@
 	if (fed->targets.listed)
 		full.m->feed_entries.whole_rev = fed->targets.from_rev;
 	dir_each(fed->dir, add_target, &full);
-	dir_each_removed(fed->dir, add_removed, &full);
+	dir_each_tombstone(fed->dir, add_removed, &full);
 	bus_send(fed->node->bus, full.m);
 }
--- a/src/flr.c
+++ b/src/flr.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 const struct flr_times flr_times_default = {
-	.lapse_us = FS_RECORD_LAPSE_US,
+	.expiry_us = FS_RECORD_LAPSE_US,
 	.hold_us = FS_RECORD_HOLD_US,
-	.past_us = 1800 * FS_US_PER_S,
+	.retention_us = 1800 * FS_US_PER_S,
 };
 
 static struct flr_entry *entry_at(const struct flr_record *record, guint i)
@@ -29,7 +29,7 @@
 	return find(record, server);
 }
 
-bool flr_room(int64_t count, int64_t out, int64_t floor)
+bool flr_has_headroom(int64_t count, int64_t out, int64_t floor)
 {
 	return count - out - 1 >= floor;
 }
@@ -72,7 +72,7 @@
 	return cfg_floor_in_region(scope->cfg, scope->service, scope->region);
 }
 
-int64_t flr_places(const struct flr_record *record)
+int64_t flr_positions(const struct flr_record *record)
 {
 	int64_t places = 0;
 
@@ -81,7 +81,7 @@
 	return places;
 }
 
-int64_t flr_place(const struct flr_record *record, const char *server)
+int64_t flr_position(const struct flr_record *record, const char *server)
 {
 	int64_t place = 0;
 
@@ -123,8 +123,8 @@
 		return FS_E_NOT_FOUND;
 	if (entry && entry->state == FLR_OUT)
 		return FS_E_CONFLICT;
-	if (!flr_room(flr_count(scope), flr_place(record, server),
-		      flr_floor(scope)))
+	if (!flr_has_headroom(flr_count(scope), flr_position(record, server),
+			      flr_floor(scope)))
 		return FS_E_FLOOR;
 	if (!has_place) {
 		uint32_t ejections = entry ? entry->ejections : 0;
@@ -179,7 +179,7 @@
 bool flr_confirmed(const struct flr_times *times, int64_t confirmed_us,
 		   int64_t now_us)
 {
-	return now_us - confirmed_us < times->lapse_us;
+	return now_us - confirmed_us < times->expiry_us;
 }
 
 bool flr_enforced(const struct flr_record *record,
@@ -190,6 +190,6 @@
 	if (!entry || entry->state != FLR_OUT)
 		return false;
 	return counted_server(scope, server) != FS_NONE &&
-	       flr_room(flr_count(scope), flr_place(record, server),
-			flr_floor(scope));
+	       flr_has_headroom(flr_count(scope), flr_position(record, server),
+				flr_floor(scope));
 }
--- a/src/flr.h
+++ b/src/flr.h
@@ -21,7 +21,7 @@
  * configurations, the largest of their rooms bounds the union.
  *
  * Limits: a pause or a lost platform lapses what is enforced; a platform that
- * loses a record is noticed by its epoch (flr_watch_note()). All functions are
+ * loses a record is noticed by its epoch (flr_watch_observe()). All functions are
  * pure apart from the objects they are given.
  */
 #ifndef FLR_H
@@ -63,9 +63,9 @@
 
 /** Durations of the protocol; flr_times_default unless a test says else. */
 struct flr_times {
-	int64_t lapse_us; /* a record is enforced so long after its read */
-	int64_t hold_us;  /* a returning entry keeps its place so long */
-	int64_t past_us;  /* the number of ejections is kept so long */
+	int64_t expiry_us;    /* a record is enforced so long after its read */
+	int64_t hold_us;      /* a returning entry keeps its place so long */
+	int64_t retention_us; /* the number of ejections is kept so long */
 };
 
 extern const struct flr_times flr_times_default;
@@ -89,7 +89,7 @@
 
 /** The arithmetic of the floor; the audit calls it again.
  *  @return whether one more of @p count servers may be out */
-bool flr_room(int64_t count, int64_t out, int64_t floor);
+bool flr_has_headroom(int64_t count, int64_t out, int64_t floor);
 
 /** Returns the servers of the scope that are not leaving. */
 int64_t flr_count(const struct flr_scope *scope);
@@ -98,12 +98,12 @@
 int64_t flr_floor(const struct flr_scope *scope);
 
 /** Returns how many entries have a place. */
-int64_t flr_places(const struct flr_record *record);
+int64_t flr_positions(const struct flr_record *record);
 
 /** Returns how many places stand before that of @p server; all of them if it
  *  has none. Entries that have left the text keep theirs, so that all nodes
  *  count alike whichever text they have. */
-int64_t flr_place(const struct flr_record *record, const char *server);
+int64_t flr_position(const struct flr_record *record, const char *server);
 
 /**
  * Ejects @p server: takes the next place, or its old one if it is returning.
@@ -150,13 +150,13 @@
  * @param seen_us  when the read had ended
  * @return 0, or FS_E_STALE if its epoch is lower than one noted before: the
  *         platform has lost a record, and nothing may be granted until
- *         flr_watch_settled()
+ *         flr_watch_may_grant()
  */
-int flr_watch_note(struct flr_watch *watch, const struct flr_record *record,
-		   int64_t seen_us);
+int flr_watch_observe(struct flr_watch *watch, const struct flr_record *record,
+		      int64_t seen_us);
 
 /** Returns whether grants are safe again after a lost record. */
-bool flr_watch_settled(const struct flr_watch *watch,
-		       const struct flr_times *times, int64_t now_us);
+bool flr_watch_may_grant(const struct flr_watch *watch,
+			 const struct flr_times *times, int64_t now_us);
 
 #endif
--- a/src/flr_sync.c
+++ b/src/flr_sync.c
@@ -6,7 +6,7 @@
 #define ASK_MAX_US (10 * FS_US_PER_S) /* a wish is refused after this */
 
 /** A wish that waits. */
-struct flr_ask {
+struct flr_request {
 	char server[FS_NAME_MAX];
 	enum aud_rule judged;
 	bool give_back;
@@ -27,7 +27,7 @@
 	int64_t retry_us;     /* no call before this */
 	enum flr_call in_flight;
 	bool read_due; /* before anything else is written */
-	struct flr_ask asks[FLR_ASKS_MAX];
+	struct flr_request asks[FLR_REQUESTS_MAX];
 	uint32_t ask_count;
 };
 
@@ -55,10 +55,10 @@
 	g_free(sync);
 }
 
-void flr_sync_ask(struct flr_sync *sync, const char *server,
-		  enum aud_rule judged, bool give_back, int64_t now_us)
+void flr_sync_request(struct flr_sync *sync, const char *server,
+		      enum aud_rule judged, bool give_back, int64_t now_us)
 {
-	struct flr_ask *ask = NULL;
+	struct flr_request *ask = NULL;
 
 	for (uint32_t i = 0; i < sync->ask_count; i++) {
 		if (!strcmp(sync->asks[i].server, server))
@@ -67,7 +67,7 @@
 	if (ask && ask->give_back == give_back)
 		return;
 	if (!ask) {
-		if (sync->ask_count == FLR_ASKS_MAX)
+		if (sync->ask_count == FLR_REQUESTS_MAX)
 			return;
 		ask = &sync->asks[sync->ask_count++];
 	}
@@ -82,7 +82,7 @@
 		   const struct flr_scope *scope,
 		   const struct flr_record *record, int err)
 {
-	struct flr_ask ask = sync->asks[i];
+	struct flr_request ask = sync->asks[i];
 	const struct flr_entry *entry = record ? flr_find(record, ask.server) :
 						 NULL;
 	struct flr_decision decision = {
@@ -92,7 +92,7 @@
 		.epoch = record ? record->epoch : 0,
 		.ejections = entry ? entry->ejections : 0,
 		.count = flr_count(scope),
-		.out = record ? flr_place(record, ask.server) : 0,
+		.out = record ? flr_position(record, ask.server) : 0,
 		.floor = flr_floor(scope),
 	};
 
@@ -104,7 +104,7 @@
 }
 
 /* Whether @p record has what a wish asks for, by a write of this node. */
-static bool ask_done(const struct flr_sync *sync, const struct flr_ask *ask,
+static bool ask_done(const struct flr_sync *sync, const struct flr_request *ask,
 		     const struct flr_record *record)
 {
 	const struct flr_entry *entry = flr_find(record, ask->server);
@@ -132,7 +132,7 @@
 	sync->revision = revision;
 	sync->confirmed_us = sync->started_us;
 	sync->read_due = false;
-	flr_watch_note(sync->watch, record, now_us);
+	flr_watch_observe(sync->watch, record, now_us);
 }
 
 /* Refuses wishes that the platform has kept waiting for too long. */
@@ -148,7 +148,7 @@
 static void apply_ask(struct flr_sync *sync, uint32_t i,
 		      const struct flr_scope *scope, struct flr_record *draft)
 {
-	struct flr_ask *ask = &sync->asks[i];
+	struct flr_request *ask = &sync->asks[i];
 	int err;
 
 	if (ask->give_back)
@@ -169,7 +169,7 @@
 
 	flr_trim(draft, scope);
 	flr_expire(draft, scope, sync->watch, sync->times, now_us);
-	if (flr_watch_settled(sync->watch, sync->times, now_us)) {
+	if (flr_watch_may_grant(sync->watch, sync->times, now_us)) {
 		for (uint32_t i = sync->ask_count; i-- > 0;)
 			apply_ask(sync, i, scope, draft);
 	}
@@ -206,9 +206,9 @@
 	return begin_call(sync, FLR_CALL_WRITE, now_us);
 }
 
-void flr_sync_read(struct flr_sync *sync, const struct flr_scope *scope,
-		   int err, uint64_t revision, const char *value,
-		   int64_t now_us)
+void flr_sync_read_done(struct flr_sync *sync, const struct flr_scope *scope,
+			int err, uint64_t revision, const char *value,
+			int64_t now_us)
 {
 	struct flr_record *record = NULL;
 
@@ -228,8 +228,8 @@
 	settle_done(sync, scope);
 }
 
-void flr_sync_wrote(struct flr_sync *sync, const struct flr_scope *scope,
-		    int err, uint64_t revision, int64_t now_us)
+void flr_sync_write_done(struct flr_sync *sync, const struct flr_scope *scope,
+			 int err, uint64_t revision, int64_t now_us)
 {
 	struct flr_record *draft = sync->draft;
 
--- a/src/flr_sync.h
+++ b/src/flr_sync.h
@@ -12,7 +12,7 @@
 
 #include "flr.h"
 
-#define FLR_ASKS_MAX 32 /* wishes that wait for a write */
+#define FLR_REQUESTS_MAX 32 /* wishes that wait for a write */
 
 struct flr_sync;
 
@@ -44,8 +44,8 @@
 void flr_sync_free(struct flr_sync *sync);
 
 /** Adds a wish; a wish for the same server is replaced. */
-void flr_sync_ask(struct flr_sync *sync, const char *server,
-		  enum aud_rule judged, bool give_back, int64_t now_us);
+void flr_sync_request(struct flr_sync *sync, const char *server,
+		      enum aud_rule judged, bool give_back, int64_t now_us);
 
 /**
  * Begins the next call, if one is due.
@@ -57,13 +57,13 @@
 			    GString *value, uint64_t *prev);
 
 /** A read has ended. @param err  0, FS_E_NOT_FOUND, or another error */
-void flr_sync_read(struct flr_sync *sync, const struct flr_scope *scope,
-		   int err, uint64_t revision, const char *value,
-		   int64_t now_us);
+void flr_sync_read_done(struct flr_sync *sync, const struct flr_scope *scope,
+			int err, uint64_t revision, const char *value,
+			int64_t now_us);
 
 /** A write has ended. @param err  0, FS_E_CONFLICT, FS_E_AMBIGUOUS, ... */
-void flr_sync_wrote(struct flr_sync *sync, const struct flr_scope *scope,
-		    int err, uint64_t revision, int64_t now_us);
+void flr_sync_write_done(struct flr_sync *sync, const struct flr_scope *scope,
+			 int err, uint64_t revision, int64_t now_us);
 
 /** Returns the record if it is confirmed and has not lapsed, or NULL. */
 const struct flr_record *flr_sync_record(const struct flr_sync *sync,
--- a/src/flr_watch.c
+++ b/src/flr_watch.c
@@ -3,13 +3,13 @@
 #include "flr.h"
 
 /** When an entry was first seen in a state. */
-struct flr_sight {
+struct flr_first_seen {
 	uint64_t epoch; /* that set the state */
 	int64_t since_us;
 };
 
 struct flr_watch {
-	GHashTable *sights; /* server name to struct flr_sight */
+	GHashTable *sights; /* server name to struct flr_first_seen */
 	uint64_t epoch;	    /* highest noted */
 	bool lost;	    /* a lower epoch came after a higher one */
 	int64_t lost_us;
@@ -35,13 +35,13 @@
 static void note_entry(struct flr_watch *watch, const struct flr_entry *entry,
 		       int64_t seen_us)
 {
-	struct flr_sight *sight =
+	struct flr_first_seen *sight =
 		g_hash_table_lookup(watch->sights, entry->server);
 
 	if (sight && sight->epoch == entry->epoch)
 		return;
 	if (!sight) {
-		sight = g_new0(struct flr_sight, 1);
+		sight = g_new0(struct flr_first_seen, 1);
 		g_hash_table_insert(watch->sights, g_strdup(entry->server),
 				    sight);
 	}
@@ -55,8 +55,8 @@
 	return !flr_find(record, server);
 }
 
-int flr_watch_note(struct flr_watch *watch, const struct flr_record *record,
-		   int64_t seen_us)
+int flr_watch_observe(struct flr_watch *watch, const struct flr_record *record,
+		      int64_t seen_us)
 {
 	bool stale = record->epoch < watch->epoch;
 
@@ -74,8 +74,8 @@
 	return stale ? FS_E_STALE : 0;
 }
 
-bool flr_watch_settled(const struct flr_watch *watch,
-		       const struct flr_times *times, int64_t now_us)
+bool flr_watch_may_grant(const struct flr_watch *watch,
+			 const struct flr_times *times, int64_t now_us)
 {
 	return !watch->lost || now_us - watch->lost_us >= times->hold_us;
 }
@@ -85,7 +85,7 @@
 		     const struct flr_entry *entry, int64_t hold_us,
 		     int64_t now_us)
 {
-	const struct flr_sight *sight =
+	const struct flr_first_seen *sight =
 		g_hash_table_lookup(watch->sights, entry->server);
 
 	return sight && sight->epoch == entry->epoch &&
@@ -105,7 +105,8 @@
 
 		if (entry->state == FLR_OUT ||
 		    !seen_for(watch, entry,
-			      past ? times->past_us : times->hold_us, now_us))
+			      past ? times->retention_us : times->hold_us,
+			      now_us))
 			continue;
 		if (!changed++) {
 			record->epoch++;
--- a/src/gry.c
+++ b/src/gry.c
@@ -63,17 +63,17 @@
 	       exp(-(double)MAX(now_us - from_us, 0) / (double)memory_us);
 }
 
-bool gry_is_path(enum gry_outcome outcome)
+bool gry_may_be_path_fault(enum gry_outcome outcome)
 {
 	return outcome == GRY_BROKEN || outcome == GRY_OVERDUE ||
 	       outcome == GRY_UNREACHABLE;
 }
 
-void gry_note(struct gry *gry, enum gry_outcome outcome, double weight,
-	      int64_t now_us)
+void gry_record_outcome(struct gry *gry, enum gry_outcome outcome,
+			double weight, int64_t now_us)
 {
 	static const double steps[GRY_OUTCOME_COUNT] = {
-		[GRY_GOOD] = GOOD_STEP,
+		[GRY_SUCCESS] = GOOD_STEP,
 		[GRY_FAILED] = FAILED_STEP,
 		[GRY_BROKEN] = BROKEN_STEP,
 		[GRY_OVERDUE] = OVERDUE_STEP,
@@ -83,12 +83,12 @@
 	gry->known = true;
 	if (outcome == GRY_FULL)
 		gry->full_us = now_us;
-	else if (outcome == GRY_OTHER)
+	else if (outcome == GRY_WRONG_SERVER)
 		gry->other_us = now_us;
 	gry->odds = CLAMP(odds_at(gry, now_us) + weight * steps[outcome],
 			  ODDS_MIN, ODDS_MAX);
 	gry->updated_us = now_us;
-	if (outcome == GRY_GOOD)
+	if (outcome == GRY_SUCCESS)
 		gry->failed_run = 0;
 	if (weight * steps[outcome] < AGAINST_STEP)
 		return;
@@ -113,8 +113,8 @@
 	return MAX(slowness, SLOWNESS_FAST);
 }
 
-void gry_note_time(struct gry *gry, int64_t took_us, int64_t mean_us,
-		   int64_t now_us)
+void gry_record_response_time(struct gry *gry, int64_t took_us, int64_t mean_us,
+			      int64_t now_us)
 {
 	double ratio;
 
@@ -132,14 +132,14 @@
 	return 1.0 / (1.0 + exp(-(PRIOR_ODDS + odds_at(gry, now_us))));
 }
 
-double gry_failure(const struct gry *gry, int64_t now_us)
+double gry_failure_probability(const struct gry *gry, int64_t now_us)
 {
 	double gray = gray_share(gry, now_us);
 
 	return gray * GRAY_FAILURE + (1.0 - gray) * ANY_FAILURE;
 }
 
-bool gry_is_suspect(const struct gry *gry, int64_t now_us)
+bool gry_is_suspected(const struct gry *gry, int64_t now_us)
 {
 	return gray_share(gry, now_us) > 0.5;
 }
@@ -147,13 +147,13 @@
 const char *gry_outcome_name(enum gry_outcome outcome)
 {
 	static const char *const names[GRY_OUTCOME_COUNT] = {
-		[GRY_GOOD] = "good",
+		[GRY_SUCCESS] = "good",
 		[GRY_FAILED] = "failed",
 		[GRY_BROKEN] = "broken",
 		[GRY_OVERDUE] = "overdue",
 		[GRY_UNREACHABLE] = "unreachable",
 		[GRY_FULL] = "full",
-		[GRY_OTHER] = "other",
+		[GRY_WRONG_SERVER] = "other",
 	};
 
 	return names[outcome];
--- a/src/gry.h
+++ b/src/gry.h
@@ -21,13 +21,13 @@
 
 /** An outcome of one request at one target. */
 enum gry_outcome {
-	GRY_GOOD,	 /* a whole answer that is no failure */
-	GRY_FAILED,	 /* a whole answer that tells of a failure */
-	GRY_BROKEN,	 /* a reset, a cut, bytes that are no answer */
-	GRY_OVERDUE,	 /* still nothing when the answer should be there */
-	GRY_UNREACHABLE, /* no connection */
-	GRY_FULL,	 /* refused as not run: it has no room */
-	GRY_OTHER,	 /* another server has the address */
+	GRY_SUCCESS,	  /* a whole answer that is no failure */
+	GRY_FAILED,	  /* a whole answer that tells of a failure */
+	GRY_BROKEN,	  /* a reset, a cut, bytes that are no answer */
+	GRY_OVERDUE,	  /* still nothing when the answer should be there */
+	GRY_UNREACHABLE,  /* no connection */
+	GRY_FULL,	  /* refused as not run: it has no room */
+	GRY_WRONG_SERVER, /* another server has the address */
 	GRY_OUTCOME_COUNT,
 };
 
@@ -47,24 +47,24 @@
 void gry_init(struct gry *gry, int64_t now_us);
 
 /** Takes an outcome. @param weight 1: seen here; less: told by others */
-void gry_note(struct gry *gry, enum gry_outcome outcome, double weight,
-	      int64_t now_us);
+void gry_record_outcome(struct gry *gry, enum gry_outcome outcome,
+			double weight, int64_t now_us);
 
 /** Returns whether an outcome may be due to the way to the target as well. */
-bool gry_is_path(enum gry_outcome outcome);
+bool gry_may_be_path_fault(enum gry_outcome outcome);
 
 /** Takes a time to answer. @param mean_us of the service; 0: unknown */
-void gry_note_time(struct gry *gry, int64_t took_us, int64_t mean_us,
-		   int64_t now_us);
+void gry_record_response_time(struct gry *gry, int64_t took_us, int64_t mean_us,
+			      int64_t now_us);
 
 /** Returns how much longer than usual the target takes; 1 if not clearly. */
 double gry_slowness(const struct gry *gry, int64_t now_us);
 
 /** Returns how likely a request fails there, from 0 to 1. */
-double gry_failure(const struct gry *gry, int64_t now_us);
+double gry_failure_probability(const struct gry *gry, int64_t now_us);
 
 /** Returns whether the target is more likely gray than not. */
-bool gry_is_suspect(const struct gry *gry, int64_t now_us);
+bool gry_is_suspected(const struct gry *gry, int64_t now_us);
 
 const char *gry_outcome_name(enum gry_outcome outcome);
 
--- a/src/gwy.c
+++ b/src/gwy.c
@@ -133,7 +133,7 @@
 	for (GList *l = all; l; l = l->next) {
 		struct gwy_request *req = l->data;
 
-		gwy_request_stop_tries(req);
+		gwy_request_cancel_attempts(req);
 		req->stream_failed = true;
 		if (!req->response && req->begun)
 			gwy_answer_refuse(req, FS_E_DISPATCHER_LOST, 0, now_us);
--- a/src/gwy_answer.c
+++ b/src/gwy_answer.c
@@ -34,7 +34,7 @@
 static void add_fields(struct gwy_request *req, struct MHD_Response *response,
 		       struct tgt *tgt)
 {
-	g_autoptr(GArray) headers = tgt_take_headers(tgt);
+	g_autoptr(GArray) headers = tgt_steal_headers(tgt);
 	g_autoptr(GArray) kept = ent_end_to_end(headers);
 
 	if (tgt_status(tgt) < 300 &&
@@ -86,10 +86,10 @@
 	ctr_observe(ctr, ctr_histogram(ctr, name), now_us - req->started_us);
 }
 
-void gwy_answer_whole(struct gwy_try *t, int64_t now_us)
+void gwy_answer_buffered(struct gwy_attempt *t, int64_t now_us)
 {
 	struct gwy_request *req = t->req;
-	g_autoptr(GBytes) body = tgt_take(t->tgt, SIZE_MAX);
+	g_autoptr(GBytes) body = tgt_read_body(t->tgt, SIZE_MAX);
 	gsize size;
 	const void *data = g_bytes_get_data(body, &size);
 	struct MHD_Response *response = MHD_create_response_from_buffer(
@@ -148,7 +148,7 @@
 		return req->stream_ended && !req->stream_failed ?
 			       MHD_CONTENT_READER_END_OF_STREAM :
 			       MHD_CONTENT_READER_END_WITH_ERROR;
-	part = tgt_take(tgt, max);
+	part = tgt_read_body(tgt, max);
 	data = g_bytes_get_data(part, &size);
 	if (size) {
 		memcpy(buf, data, size);
@@ -161,7 +161,7 @@
 	return 0;
 }
 
-void gwy_answer_stream(struct gwy_try *t, int64_t now_us)
+void gwy_answer_stream(struct gwy_attempt *t, int64_t now_us)
 {
 	struct gwy_request *req = t->req;
 	int64_t length = tgt_length(t->tgt);
--- a/src/gwy_choose.c
+++ b/src/gwy_choose.c
@@ -31,15 +31,15 @@
 	return us > 0 ? us : OBJECTIVE_DEFAULT_US;
 }
 
-bool gwy_choose_too_long(const struct gwy_request *req, int64_t wait_us,
-			 int64_t now_us)
+bool gwy_choose_wait_exceeds_deadline(const struct gwy_request *req,
+				      int64_t wait_us, int64_t now_us)
 {
 	return (double)wait_us >
 	       (double)(req->deadline_us - now_us) * WAIT_SLACK;
 }
 
 static uint32_t tried(const struct gwy_request *req,
-		      const struct dir_target *out[GWY_TRIES_MAX])
+		      const struct dir_target *out[GWY_ATTEMPTS_MAX])
 {
 	for (uint32_t i = 0; i < req->try_count; i++)
 		out[i] = req->tries[i].target;
@@ -49,14 +49,14 @@
 struct bal_choice gwy_choose(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
-	const struct dir_target *avoid[GWY_TRIES_MAX];
+	const struct dir_target *avoid[GWY_ATTEMPTS_MAX];
 	const char *service = gwy_service_name(req);
 	const struct dir_service *targets = dir_find(gwy->dir, service);
 	int64_t objective_us = gwy_choose_objective(req);
 	struct bal_choice choice;
-	struct bal_wish wish = {
+	struct bal_query wish = {
 		.domain = gwy->node->set.domain,
-		.mean_us = lod_mean(gwy->lod, service),
+		.mean_us = lod_mean_latency(gwy->lod, service),
 		.failure_us = objective_us * (gwy_route_of(req)->repeatable ?
 						      FAILURE_REPEATABLE :
 						      FAILURE_ONCE),
@@ -65,14 +65,15 @@
 		.repeatable = gwy_route_of(req)->repeatable,
 		.avoid = avoid,
 		.avoid_count = tried(req, avoid),
-		.rate = lod_rate(gwy->lod, service, now_us),
+		.rate = lod_request_rate(gwy->lod, service, now_us),
 		.domain_share = gwy->domain_share,
 		.now_us = now_us,
 		.random = gwy_random(gwy),
 	};
 
 	choice = bal_choose(targets, &wish);
-	if (!choice.target || !gwy_choose_too_long(req, choice.wait_us, now_us))
+	if (!choice.target ||
+	    !gwy_choose_wait_exceeds_deadline(req, choice.wait_us, now_us))
 		return choice;
 	/* Waiting there would be for nothing: a doubtful target is better. */
 	wish.failure_us = 0;
--- a/src/gwy_http.c
+++ b/src/gwy_http.c
@@ -206,13 +206,14 @@
 
 static void hold_or_refuse(struct gwy_request *req, int64_t now_us)
 {
-	int64_t until_us = req->gwy->started_us + GWY_HOLD_US;
+	int64_t until_us = req->gwy->started_us + GWY_DEFER_MAX_US;
 
 	if (now_us >= until_us) {
-		gwy_answer_refuse(req, FS_E_NOT_READY, GWY_HOLD_US, now_us);
+		gwy_answer_refuse(req, FS_E_NOT_READY, GWY_DEFER_MAX_US,
+				  now_us);
 		return;
 	}
-	req->state = GWY_HELD;
+	req->state = GWY_DEFERRED;
 	gwy_request_timer(req, MIN(now_us + NODE_TICK_US / 2, until_us),
 			  now_us);
 }
@@ -237,7 +238,7 @@
 	gwy_send_first(req, now_us);
 }
 
-void gwy_http_release(struct gwy_request *req, int64_t now_us)
+void gwy_http_resume_deferred(struct gwy_request *req, int64_t now_us)
 {
 	go_on(req, now_us);
 }
--- a/src/gwy_request.c
+++ b/src/gwy_request.c
@@ -11,8 +11,8 @@
 	struct gwy_request *req = timer->data;
 	int64_t now_us = fs_now_us();
 
-	if (req->state == GWY_HELD)
-		gwy_http_release(req, now_us);
+	if (req->state == GWY_DEFERRED)
+		gwy_http_resume_deferred(req, now_us);
 	else
 		gwy_send_timer(req, now_us);
 }
@@ -25,7 +25,7 @@
 
 	if (req->state == GWY_ENDED)
 		return;
-	gwy_request_stop_tries(req);
+	gwy_request_cancel_attempts(req);
 	gwy_request_log(req, fs_err_name(FS_E_CALLER_GONE), now_us);
 	ctr_count(req->gwy->node->ctr, "gwy_callers_gone", 1);
 	req->state = GWY_ENDED;
@@ -57,7 +57,7 @@
 {
 	struct gwy *gwy = req->gwy;
 
-	gwy_request_stop_tries(req);
+	gwy_request_cancel_attempts(req);
 	for (uint32_t i = 0; i < req->try_count; i++)
 		dir_target_unref(req->tries[i].target);
 	ev_timer_stop(gwy->node->loop, &req->timer);
@@ -102,10 +102,10 @@
 	ev_timer_start(loop, &req->timer);
 }
 
-void gwy_request_stop_tries(struct gwy_request *req)
+void gwy_request_cancel_attempts(struct gwy_request *req)
 {
 	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_try *t = &req->tries[i];
+		struct gwy_attempt *t = &req->tries[i];
 
 		if (!t->tgt)
 			continue;
@@ -115,7 +115,7 @@
 		t->tgt = NULL;
 		if (t->held)
 			t->err = FS_E_CANCELLED;
-		gwy_send_release(t);
+		gwy_send_release_slot(t);
 	}
 	req->stream = NULL;
 }
@@ -124,7 +124,7 @@
 {
 	g_string_append(out, ",\"tries\":[");
 	for (uint32_t i = 0; i < req->try_count; i++) {
-		const struct gwy_try *t = &req->tries[i];
+		const struct gwy_attempt *t = &req->tries[i];
 
 		g_string_append_printf(
 			out,
@@ -148,7 +148,8 @@
 		return;
 	req->logged = true;
 	if (req->cfg && req->service != FS_NONE && req->status >= 500)
-		lod_sent(req->gwy->lod, gwy_service_name(req), 0, 0, 1);
+		lod_record_requests(req->gwy->lod, gwy_service_name(req), 0, 0,
+				    1);
 	fs_json_string(out, req->id ? req->id : "");
 	g_string_append_printf(out, ",\"outcome\":\"%s\",\"status\":%u",
 			       outcome, req->status);
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -8,15 +8,16 @@
 /* Callers come back spread over this time, so that they do not meet again. */
 #define COME_BACK_SPREAD_US (400 * FS_US_PER_MS)
 
-static struct adm_numbers admission(const struct gwy_request *req,
-				    const struct bal_choice *choice,
-				    int64_t now_us)
+static struct adm_input admission(const struct gwy_request *req,
+				  const struct bal_choice *choice,
+				  int64_t now_us)
 {
-	return (struct adm_numbers){
+	return (struct adm_input){
 		.age_us = now_us - req->started_us,
 		.left_us = req->deadline_us - now_us,
 		.objective_us = gwy_choose_objective(req),
-		.mean_us = lod_mean(req->gwy->lod, gwy_service_name(req)),
+		.mean_us =
+			lod_mean_latency(req->gwy->lod, gwy_service_name(req)),
 		.wait_us = choice->wait_us,
 		.room = choice->target != NULL,
 		.offered = req->try_count > 0,
@@ -26,7 +27,7 @@
 static int64_t come_back(struct gwy_request *req,
 			 const struct bal_choice *choice, int64_t now_us)
 {
-	struct adm_numbers n = admission(req, choice, now_us);
+	struct adm_input n = admission(req, choice, now_us);
 
 	return adm_retry_after(&n) +
 	       (int64_t)(gwy_random(req->gwy) % COME_BACK_SPREAD_US);
@@ -45,7 +46,7 @@
 	return bud;
 }
 
-void gwy_send_release(struct gwy_try *t)
+void gwy_send_release_slot(struct gwy_attempt *t)
 {
 	if (!t->held)
 		return;
@@ -53,21 +54,21 @@
 	t->req->running--;
 	if (t->target->gone)
 		return;
-	bal_of(t->target, t->started_us)->own--;
-	lod_change(t->req->gwy->lod, t->target);
+	bal_target_get(t->target, t->started_us)->own--;
+	lod_in_flight_changed(t->req->gwy->lod, t->target);
 }
 
 static void set_timer(struct gwy_request *req, int64_t now_us)
 {
 	int64_t at_us = req->deadline_us;
 	int64_t late_us = gwy_overdue_us(req);
-	int64_t last_us = gwy_overdue_last_us(req);
+	int64_t last_us = gwy_overdue_hedge_latest_us(req);
 
 	if (now_us < last_us)
 		at_us = MIN(at_us, last_us);
 
 	for (uint32_t i = 0; i < req->try_count; i++) {
-		const struct gwy_try *t = &req->tries[i];
+		const struct gwy_attempt *t = &req->tries[i];
 
 		if (t->held && !t->overdue)
 			at_us = MIN(at_us,
@@ -78,7 +79,7 @@
 
 static const struct tgt_ops try_ops;
 
-static bool start_tgt(struct gwy_try *t, int64_t now_us)
+static bool start_tgt(struct gwy_attempt *t, int64_t now_us)
 {
 	struct gwy_request *req = t->req;
 	struct gwy *gwy = req->gwy;
@@ -106,7 +107,7 @@
 static void start_try(struct gwy_request *req, const struct bal_choice *choice,
 		      int64_t now_us)
 {
-	struct gwy_try *t = &req->tries[req->try_count++];
+	struct gwy_attempt *t = &req->tries[req->try_count++];
 
 	t->req = req;
 	t->target = dir_target_ref(choice->target);
@@ -114,19 +115,20 @@
 	t->wait_us = choice->wait_us;
 	t->held = true;
 	req->running++;
-	bal_of(t->target, now_us)->own++;
-	bal_of(t->target, now_us)->sent_us = now_us;
-	lod_change(req->gwy->lod, t->target);
+	bal_target_get(t->target, now_us)->own++;
+	bal_target_get(t->target, now_us)->sent_us = now_us;
+	lod_in_flight_changed(req->gwy->lod, t->target);
 	if (req->sent) {
-		bud_repeat(budget_of(req), &req->gwy->budget_rule, now_us);
-		lod_sent(req->gwy->lod, gwy_service_name(req), 0, 1, 0);
+		bud_count_retry(budget_of(req), &req->gwy->budget_rule, now_us);
+		lod_record_requests(req->gwy->lod, gwy_service_name(req), 0, 1,
+				    0);
 	}
 	req->sent++;
 	ctr_count(req->gwy->node->ctr, "gwy_sends", 1);
 	if (!start_tgt(t, now_us)) {
 		t->err = FS_E_NO_MEMORY;
 		t->not_run = true;
-		gwy_send_release(t);
+		gwy_send_release_slot(t);
 	}
 }
 
@@ -135,9 +137,9 @@
 		       const struct bal_choice *choice, int64_t now_us)
 {
 	int64_t left_us = req->deadline_us - now_us;
-	struct adm_numbers n;
+	struct adm_input n;
 
-	if (left_us < GWY_LEFT_MIN_US)
+	if (left_us < GWY_TIME_LEFT_MIN_US)
 		return req->may_have_run ? FS_E_DEADLINE : FS_E_DEADLINE_QUEUED;
 	if (!choice->target)
 		return choice->full ? FS_E_QUEUE_FULL : FS_E_NO_TARGET;
@@ -150,7 +152,7 @@
 static bool park(struct gwy_request *req, const struct bal_choice *choice,
 		 int err, int64_t now_us)
 {
-	struct adm_numbers n = admission(req, choice, now_us);
+	struct adm_input n = admission(req, choice, now_us);
 
 	req->parked = !req->running &&
 		      (err == FS_E_QUEUE_FULL || err == FS_E_WAIT_TOO_LONG) &&
@@ -162,7 +164,7 @@
 	return req->parked;
 }
 
-static const char *reason(const struct rty_numbers *n)
+static const char *reason(const struct rty_input *n)
 {
 	if (!n->repeatable && n->written)
 		return "may_have_run";
@@ -182,22 +184,23 @@
 static double budget_left(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
-	double own =
-		bud_left(budget_of(req), &gwy->budget_rule, gwy->alive, now_us);
-	double pool = lod_budget_left(gwy->lod, gwy_service_name(req),
-				      &gwy->budget_rule, now_us);
-	double recent = bud_recent(budget_of(req), &gwy->budget_rule, now_us);
+	double own = bud_retries_left(budget_of(req), &gwy->budget_rule,
+				      gwy->alive, now_us);
+	double pool = lod_retry_budget_left(gwy->lod, gwy_service_name(req),
+					    &gwy->budget_rule, now_us);
+	double recent =
+		bud_recent_retries(budget_of(req), &gwy->budget_rule, now_us);
 
 	return MAX(own, pool / gwy->alive - recent);
 }
 
 /* Sends a request once more, if the rule of retries allows it. */
-bool gwy_send_again(struct gwy_request *req, int64_t now_us)
+bool gwy_send_retry(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
 	const struct cfg_route *route = gwy_route_of(req);
 	struct bal_choice choice = gwy_choose(req, now_us);
-	struct rty_numbers n = {
+	struct rty_input n = {
 		.repeatable = route->repeatable,
 		.written = req->may_have_run,
 		.begun = req->state == GWY_STREAMING,
@@ -205,7 +208,8 @@
 		.tries_max = MAX(route->tries, 1),
 		.budget_milli =
 			(int64_t)(budget_left(req, now_us) * RTY_COST_MILLI),
-		.remaining_us = req->deadline_us - now_us - GWY_LEFT_MIN_US,
+		.remaining_us =
+			req->deadline_us - now_us - GWY_TIME_LEFT_MIN_US,
 		.usable = choice.target ? 1 : 0,
 	};
 	int err;
@@ -216,7 +220,7 @@
 	err = cannot_send(req, &choice, now_us);
 	if (err == FS_E_QUEUE_FULL || err == FS_E_WAIT_TOO_LONG)
 		n.usable = 1;
-	if (req->try_count == GWY_TRIES_MAX || !rty_allowed(&n) ||
+	if (req->try_count == GWY_ATTEMPTS_MAX || !rty_allowed(&n) ||
 	    (err && !park(req, &choice, err, now_us))) {
 		req->no_retry = reason(&n);
 		return false;
@@ -252,13 +256,13 @@
 void gwy_send_first(struct gwy_request *req, int64_t now_us)
 {
 	req->state = GWY_WAITING;
-	bud_request(budget_of(req), &req->gwy->budget_rule, now_us);
-	lod_sent(req->gwy->lod, gwy_service_name(req), 1, 0, 0);
+	bud_count_request(budget_of(req), &req->gwy->budget_rule, now_us);
+	lod_record_requests(req->gwy->lod, gwy_service_name(req), 1, 0, 0);
 	send_or_refuse(req, now_us);
 }
 
 /* What an ended send says of its target. */
-static enum gry_outcome outcome_of(const struct gwy_try *t)
+static enum gry_outcome outcome_of(const struct gwy_attempt *t)
 {
 	if (t->err == FS_E_CONNECT)
 		return GRY_UNREACHABLE;
@@ -267,11 +271,11 @@
 	if (t->err)
 		return GRY_BROKEN;
 	if (t->not_run)
-		return t->status == 421 ? GRY_OTHER : GRY_FULL;
-	return t->status >= 500 ? GRY_FAILED : GRY_GOOD;
+		return t->status == 421 ? GRY_WRONG_SERVER : GRY_FULL;
+	return t->status >= 500 ? GRY_FAILED : GRY_SUCCESS;
 }
 
-static void tell_outcome(struct gwy_try *t)
+static void tell_outcome(struct gwy_attempt *t)
 {
 	enum gry_outcome outcome = outcome_of(t);
 
@@ -279,12 +283,12 @@
 		return;
 	t->overdue |= outcome == GRY_OVERDUE;
 	/* The wait for a slot says nothing of how fast the target works. */
-	lod_outcome(t->req->gwy->lod, t->target, outcome,
-		    MAX(t->took_us - t->wait_us, t->took_us / 4));
+	lod_record_outcome(t->req->gwy->lod, t->target, outcome,
+			   MAX(t->took_us - t->wait_us, t->took_us / 4));
 }
 
-static bool is_not_run(const struct gwy_try *t, const struct tgt_end *end,
-		       const GArray *headers)
+static bool is_not_run(const struct gwy_attempt *t,
+		       const struct tgt_result *end, const GArray *headers)
 {
 	if (end->err)
 		return !end->written;
@@ -293,7 +297,7 @@
 }
 
 /* The answer of the fleet when no send gave one that can be passed on. */
-static int final_err(const struct gwy_try *t)
+static int final_err(const struct gwy_attempt *t)
 {
 	if (!t->req->may_have_run)
 		return t->err && t->err != FS_E_CONNECT ? FS_E_DEADLINE_QUEUED :
@@ -304,13 +308,13 @@
 	return t->err;
 }
 
-static void finish(struct gwy_try *t, int64_t now_us)
+static void finish(struct gwy_attempt *t, int64_t now_us)
 {
 	struct gwy_request *req = t->req;
 	int err;
 
 	if (!t->err && !t->not_run) {
-		gwy_answer_whole(t, now_us);
+		gwy_answer_buffered(t, now_us);
 		return;
 	}
 	err = final_err(t);
@@ -323,12 +327,12 @@
 }
 
 /* A failure answer is passed on only if no better one can be had. */
-static bool is_good(const struct gwy_try *t)
+static bool is_good(const struct gwy_attempt *t)
 {
 	return !t->err && !t->not_run && t->status < 500;
 }
 
-static void on_stream_end(struct gwy_try *t)
+static void on_stream_end(struct gwy_attempt *t)
 {
 	struct gwy_request *req = t->req;
 
@@ -341,9 +345,9 @@
 	gwy_request_resume(req);
 }
 
-static void on_done(void *arg, struct tgt *tgt, const struct tgt_end *end)
+static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *end)
 {
-	struct gwy_try *t = arg;
+	struct gwy_attempt *t = arg;
 	struct gwy_request *req = t->req;
 	int64_t now_us = fs_now_us();
 	bool streaming = req->stream == t;
@@ -361,7 +365,7 @@
 	else if (!t->not_run)
 		req->may_have_run = true;
 	tell_outcome(t);
-	gwy_send_release(t);
+	gwy_send_release_slot(t);
 	if (streaming) {
 		on_stream_end(t);
 		return;
@@ -369,12 +373,12 @@
 	if (req->state != GWY_WAITING)
 		return;
 	if (is_good(t)) {
-		gwy_answer_whole(t, now_us);
-		gwy_request_stop_tries(req);
+		gwy_answer_buffered(t, now_us);
+		gwy_request_cancel_attempts(req);
 		return;
 	}
 	/* Another send is still under way, or follows now. */
-	if (req->running || gwy_send_again(req, now_us))
+	if (req->running || gwy_send_retry(req, now_us))
 		return;
 	finish(t, now_us);
 }
@@ -382,7 +386,7 @@
 /* The body is long: pass it on while it comes in. */
 static void on_begun(void *arg, struct tgt *tgt)
 {
-	struct gwy_try *t = arg;
+	struct gwy_attempt *t = arg;
 	struct gwy_request *req = t->req;
 
 	if (req->state != GWY_WAITING)
@@ -396,20 +400,20 @@
 static void stop_others(struct gwy_request *req)
 {
 	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_try *t = &req->tries[i];
+		struct gwy_attempt *t = &req->tries[i];
 
 		if (t == req->stream || !t->held)
 			continue;
 		tgt_free(t->tgt);
 		t->tgt = NULL;
 		t->err = FS_E_CANCELLED;
-		gwy_send_release(t);
+		gwy_send_release_slot(t);
 	}
 }
 
 static void on_more(void *arg, struct tgt *tgt)
 {
-	const struct gwy_try *t = arg;
+	const struct gwy_attempt *t = arg;
 
 	(void)tgt;
 	if (t->req->stream == t)
@@ -433,7 +437,7 @@
 static void give_up(struct gwy_request *req, int64_t now_us)
 {
 	if (req->state == GWY_STREAMING) {
-		gwy_request_stop_tries(req);
+		gwy_request_cancel_attempts(req);
 		req->stream_failed = true;
 		gwy_request_log(req, fs_err_name(FS_E_DEADLINE), now_us);
 		req->state = GWY_ENDED;
@@ -441,12 +445,13 @@
 		return;
 	}
 	for (uint32_t i = 0; i < req->try_count; i++) {
-		struct gwy_try *t = &req->tries[i];
+		struct gwy_attempt *t = &req->tries[i];
 
 		if (t->held && !t->overdue)
-			lod_outcome(req->gwy->lod, t->target, GRY_OVERDUE, 0);
+			lod_record_outcome(req->gwy->lod, t->target,
+					   GRY_OVERDUE, 0);
 	}
-	gwy_request_stop_tries(req);
+	gwy_request_cancel_attempts(req);
 	gwy_answer_refuse(
 		req, req->may_have_run ? FS_E_DEADLINE : FS_E_DEADLINE_QUEUED,
 		0, now_us);
@@ -459,7 +464,7 @@
 		send_or_refuse(req, now_us);
 		return;
 	}
-	if (gwy_send_again(req, now_us))
+	if (gwy_send_retry(req, now_us))
 		return;
 	finish(&req->tries[req->try_count - 1], now_us);
 }
@@ -480,9 +485,9 @@
 	if (req->state == GWY_STREAMING)
 		stop_others(req);
 	if (req->state == GWY_WAITING) {
-		gwy_overdue_note(req, now_us);
-		if (gwy_overdue_doubtful(req, now_us))
-			gwy_send_again(req, now_us);
+		gwy_overdue_report(req, now_us);
+		if (gwy_overdue_should_hedge(req, now_us))
+			gwy_send_retry(req, now_us);
 	}
 	set_timer(req, now_us);
 }
--- a/src/hlt.c
+++ b/src/hlt.c
@@ -12,7 +12,7 @@
 
 	g_strlcpy(server->name, name, sizeof(server->name));
 	hlt_window_init(&server->window, shard->params->window_us, now_us);
-	server->flights = g_array_new(FALSE, TRUE, sizeof(struct hlt_flight));
+	server->flights = g_array_new(FALSE, TRUE, sizeof(struct hlt_inflight));
 	server->last_good_us = now_us;
 	server->last_bad_us = now_us;
 	server->rule = AUD_RULE_COUNT;
@@ -79,12 +79,13 @@
 	if (old->flights->len)
 		g_array_append_vals(flights, old->flights->data,
 				    old->flights->len);
-	if (old->window.step_us != window_us / HLT_BUCKETS)
+	if (old->window.step_us != window_us / HLT_WINDOW_BUCKETS)
 		hlt_window_init(&server->window, window_us, now_us);
 }
 
-void hlt_shard_adopt(struct hlt_shard *shard, const struct cfg *cfg,
-		     const struct hlt_shard *old, const struct cfg *old_cfg)
+void hlt_shard_copy_state(struct hlt_shard *shard, const struct cfg *cfg,
+			  const struct hlt_shard *old,
+			  const struct cfg *old_cfg)
 {
 	(void)cfg;
 	(void)old_cfg;
@@ -112,7 +113,7 @@
 	server->told_us = 0;
 	server->good_run = 0;
 	server->ejections = MAX(server->ejections, 1);
-	if (server->judged == HLT_FIT) {
+	if (server->judged == HLT_HEALTHY) {
 		server->sick_us = now_us;
 		server->last_bad_us = now_us;
 		server->rule = AUD_R_STEER_ERRORS;
@@ -127,10 +128,11 @@
 {
 	int64_t from_us = MAX(server->last_bad_us, server->ejected_us);
 
-	if (!hlt_rule_return(shard->params, server->good_run, now_us - from_us,
-			     server->ejections, server->reachable))
+	if (!hlt_rule_reinstate(shard->params, server->good_run,
+				now_us - from_us, server->ejections,
+				server->reachable))
 		return;
-	server->judged = HLT_FIT;
+	server->judged = HLT_HEALTHY;
 	server->rule = AUD_RULE_COUNT;
 	server->cleared_us = now_us;
 	server->has_cleared = true;
@@ -206,7 +208,7 @@
 	}
 }
 
-void hlt_lapse(struct hlt_shard *shard, int64_t now_us)
+void hlt_expire_record(struct hlt_shard *shard, int64_t now_us)
 {
 	if (flr_confirmed(&flr_times_default, shard->confirmed_us, now_us))
 		return;
@@ -215,13 +217,13 @@
 		set_ejected(shard, i, false, now_us);
 }
 
-void hlt_set_path(struct hlt_shard *shard, uint32_t i, bool others_reach,
-		  int64_t now_us)
+void hlt_set_reached_by_others(struct hlt_shard *shard, uint32_t i,
+			       bool others_reach, int64_t now_us)
 {
 	shard->servers[i].path_until_us = others_reach ? now_us + PATH_US : 0;
 }
 
-void hlt_set_dependency_sick(struct hlt_shard *shard, bool sick)
+void hlt_set_dependency_unhealthy(struct hlt_shard *shard, bool sick)
 {
 	shard->dependency_sick = sick;
 }
@@ -232,7 +234,7 @@
 
 	if (server->ejected)
 		return HLT_EJECTED;
-	return server->given_back ? HLT_FIT : server->judged;
+	return server->given_back ? HLT_HEALTHY : server->judged;
 }
 
 static uint32_t ramped_slots(const struct hlt_shard *shard,
@@ -255,19 +257,20 @@
 	       flr_confirmed(&flr_times_default, shard->confirmed_us, now_us);
 }
 
-uint32_t hlt_allowed(const struct hlt_shard *shard, uint32_t i, bool repeatable,
-		     int64_t now_us)
+uint32_t hlt_concurrency_limit(const struct hlt_shard *shard, uint32_t i,
+			       bool repeatable, int64_t now_us)
 {
 	const struct hlt_server *server = &shard->servers[i];
-	enum hlt_level level = server->given_back ? HLT_FIT : server->judged;
+	enum hlt_level level = server->given_back ? HLT_HEALTHY :
+						    server->judged;
 
 	if (is_ejected_now(shard, server, now_us))
 		level = HLT_EJECTED;
-	if (level == HLT_FIT)
+	if (level == HLT_HEALTHY)
 		return ramped_slots(shard, server, now_us);
 	if (!repeatable)
 		return 0;
-	if (level == HLT_SUSPECT)
+	if (level == HLT_SUSPECTED)
 		return MAX(1, shard->slots / 2);
 	return now_us >= server->trial_next_us ? 1 : 0;
 }
--- a/src/hlt.h
+++ b/src/hlt.h
@@ -23,21 +23,21 @@
 #include "fs_types.h"
 
 enum hlt_level {
-	HLT_FIT,
-	HLT_SUSPECT,
+	HLT_HEALTHY,
+	HLT_SUSPECTED,
 	HLT_TRIAL,
 	HLT_EJECTED,
 };
 
 /** How one exchange with a server ended. */
 enum hlt_result {
-	HLT_GOOD,	    /* a whole answer that is not a server error */
+	HLT_SUCCESS,	    /* a whole answer that is not a server error */
 	HLT_SERVER_ERROR,   /* status 500 or above, but for refusals */
 	HLT_REFUSED,	    /* the target shed the request: busy, not sick */
 	HLT_CONNECT_FAILED, /* refused, unreachable or no handshake in time */
 	HLT_TIMED_OUT,	    /* no whole answer within the deadline */
 	HLT_RESET,	    /* the connection broke before the whole answer */
-	HLT_BAD_ANSWER,	    /* truncated or malformed */
+	HLT_INVALID_ANSWER, /* truncated or malformed */
 	HLT_CANCELLED,	    /* the caller went away: says nothing, except
 			      * how long it had been running */
 };
@@ -52,8 +52,8 @@
 /** What hlt_tick() asks the dispatcher to do. */
 enum hlt_action {
 	HLT_ACT_NONE,
-	HLT_ACT_ASK_EJECT,  /* ask for an ejection (after a path check) */
-	HLT_ACT_ASK_RETURN, /* ask for a return */
+	HLT_ACT_REQUEST_EJECTION, /* ask for an ejection (after a path check) */
+	HLT_ACT_REQUEST_REINSTATEMENT, /* ask for a return */
 };
 
 struct hlt_shard;
@@ -69,21 +69,22 @@
 void hlt_shard_free(struct hlt_shard *shard);
 
 /** Carries what is known over to a shard of a newer configuration. */
-void hlt_shard_adopt(struct hlt_shard *shard, const struct cfg *cfg,
-		     const struct hlt_shard *old, const struct cfg *old_cfg);
+void hlt_shard_copy_state(struct hlt_shard *shard, const struct cfg *cfg,
+			  const struct hlt_shard *old,
+			  const struct cfg *old_cfg);
 
 /** Server @p i of the shard was given a request with @p deadline_us left.
- *  @return a token for hlt_finished() */
-uint32_t hlt_started(struct hlt_shard *shard, uint32_t i, int64_t deadline_us,
-		     int64_t now_us);
+ *  @return a token for hlt_request_finished() */
+uint32_t hlt_request_started(struct hlt_shard *shard, uint32_t i,
+			     int64_t deadline_us, int64_t now_us);
 
 /** The exchange named by @p token on server @p i has ended. */
-void hlt_finished(struct hlt_shard *shard, uint32_t i, uint32_t token,
-		  const struct hlt_end *end, int64_t now_us);
+void hlt_request_finished(struct hlt_shard *shard, uint32_t i, uint32_t token,
+			  const struct hlt_end *end, int64_t now_us);
 
 /** A probe of server @p i ended. */
-void hlt_probed(struct hlt_shard *shard, uint32_t i, bool reachable,
-		int64_t now_us);
+void hlt_probe_finished(struct hlt_shard *shard, uint32_t i, bool reachable,
+			int64_t now_us);
 
 /** The service's record, as confirmed, ejects server @p i, or does not. */
 void hlt_set_ejected(struct hlt_shard *shard, uint32_t i, bool ejected,
@@ -101,26 +102,26 @@
 		    int64_t now_us);
 
 /** Another failure domain reaches server @p i, or does not. */
-void hlt_set_path(struct hlt_shard *shard, uint32_t i, bool others_reach,
-		  int64_t now_us);
+void hlt_set_reached_by_others(struct hlt_shard *shard, uint32_t i,
+			       bool others_reach, int64_t now_us);
 
 /** A service this one depends on is sick, or is not any more. */
-void hlt_set_dependency_sick(struct hlt_shard *shard, bool sick);
+void hlt_set_dependency_unhealthy(struct hlt_shard *shard, bool sick);
 
 /** Returns the level of server @p i as of the last tick or report. */
 enum hlt_level hlt_level(const struct hlt_shard *shard, uint32_t i);
 
 /** Returns whether server @p i looks sick and is kept in use for the floor
  *  alone: it is given work only when no other has room. */
-bool hlt_kept_for_floor(const struct hlt_shard *shard, uint32_t i);
+bool hlt_retained_for_floor(const struct hlt_shard *shard, uint32_t i);
 
 /**
  * Returns how many requests server @p i may have in flight now, from 0 to its
  * slots: fewer while suspect or in slow start.
  * @param repeatable  the request may be repeated
  */
-uint32_t hlt_allowed(const struct hlt_shard *shard, uint32_t i, bool repeatable,
-		     int64_t now_us);
+uint32_t hlt_concurrency_limit(const struct hlt_shard *shard, uint32_t i,
+			       bool repeatable, int64_t now_us);
 
 /**
  * Judges all servers; call every 100 ms and after failures.
@@ -132,6 +133,6 @@
 	      enum hlt_action *actions, enum aud_rule *rules);
 
 /** Returns whether most of the shard's servers are sick now. */
-bool hlt_shard_sick(const struct hlt_shard *shard);
+bool hlt_shard_unhealthy(const struct hlt_shard *shard);
 
 #endif
--- a/src/hlt_evidence.c
+++ b/src/hlt_evidence.c
@@ -3,16 +3,16 @@
 #define DEADLINE_PERCENT 60 /* of its deadline, and a request is overdue */
 #define WEAK_PER_BAD 4	    /* failures on reused connections for one bad */
 
-static struct hlt_flight *flight_at(const struct hlt_server *server, guint i)
+static struct hlt_inflight *flight_at(const struct hlt_server *server, guint i)
 {
-	return &g_array_index(server->flights, struct hlt_flight, i);
+	return &g_array_index(server->flights, struct hlt_inflight, i);
 }
 
-uint32_t hlt_started(struct hlt_shard *shard, uint32_t i, int64_t deadline_us,
-		     int64_t now_us)
+uint32_t hlt_request_started(struct hlt_shard *shard, uint32_t i,
+			     int64_t deadline_us, int64_t now_us)
 {
 	struct hlt_server *server = &shard->servers[i];
-	struct hlt_flight flight = {
+	struct hlt_inflight flight = {
 		.token = ++shard->token,
 		.band = hlt_lat_band_of(deadline_us),
 		.started_us = now_us,
@@ -29,7 +29,7 @@
 /* The time that any server may take; a request that ended earlier, since
  * little of its deadline was left, says nothing about its server. */
 static int64_t fair_us(const struct hlt_shard *shard,
-		       const struct hlt_flight *flight)
+		       const struct hlt_inflight *flight)
 {
 	int64_t p95_us = shard->lat.bands[flight->band].p95_us;
 
@@ -37,7 +37,7 @@
 }
 
 bool hlt_is_overdue(const struct hlt_shard *shard,
-		    const struct hlt_flight *flight, int64_t now_us)
+		    const struct hlt_inflight *flight, int64_t now_us)
 {
 	const struct hlt_params *p = shard->params;
 	int64_t p95_us = shard->lat.bands[flight->band].p95_us;
@@ -51,7 +51,7 @@
 
 static void note_bad(struct hlt_server *server, int64_t now_us)
 {
-	hlt_window_at(&server->window, now_us)->bad++;
+	hlt_window_current(&server->window, now_us)->bad++;
 	server->last_bad_us = now_us;
 	server->good_run = 0;
 	server->sick_bad++;
@@ -60,7 +60,7 @@
 /* The failure of a reused connection may be the connection's alone. */
 static void note_weak(struct hlt_server *server, int64_t now_us)
 {
-	struct hlt_counts *counts = hlt_window_at(&server->window, now_us);
+	struct hlt_counts *counts = hlt_window_current(&server->window, now_us);
 
 	if (++counts->weak % WEAK_PER_BAD == 0)
 		note_bad(server, now_us);
@@ -70,7 +70,7 @@
  * turned out to be a reused one. */
 static void take_back_overdue(struct hlt_server *server, int64_t now_us)
 {
-	struct hlt_counts *counts = hlt_window_at(&server->window, now_us);
+	struct hlt_counts *counts = hlt_window_current(&server->window, now_us);
 
 	if (counts->bad)
 		counts->bad--;
@@ -79,16 +79,16 @@
 }
 
 static void note_good(struct hlt_shard *shard, struct hlt_server *server,
-		      const struct hlt_flight *flight, int64_t took_us,
+		      const struct hlt_inflight *flight, int64_t took_us,
 		      int64_t now_us)
 {
 	const struct hlt_params *p = shard->params;
 	const struct hlt_lat_band *band = &shard->lat.bands[flight->band];
-	struct hlt_counts *counts = hlt_window_at(&server->window, now_us);
+	struct hlt_counts *counts = hlt_window_current(&server->window, now_us);
 	bool slow = band->p50_us >= 0 && took_us >= p->slow_min_us &&
 		    took_us >= band->p50_us * p->slow_factor;
 
-	hlt_lat_note(&shard->lat, flight->band, took_us);
+	hlt_lat_record(&shard->lat, flight->band, took_us);
 	server->connect_failures = 0;
 	if (flight->counted_overdue)
 		return;
@@ -106,7 +106,7 @@
 
 static void note_failure(const struct hlt_shard *shard,
 			 struct hlt_server *server,
-			 const struct hlt_flight *flight,
+			 const struct hlt_inflight *flight,
 			 const struct hlt_end *end, int64_t now_us)
 {
 	if (end->result == HLT_TIMED_OUT &&
@@ -122,15 +122,15 @@
 }
 
 static void note_end(struct hlt_shard *shard, struct hlt_server *server,
-		     const struct hlt_flight *flight, const struct hlt_end *end,
-		     int64_t now_us)
+		     const struct hlt_inflight *flight,
+		     const struct hlt_end *end, int64_t now_us)
 {
 	switch (end->result) {
-	case HLT_GOOD:
+	case HLT_SUCCESS:
 		note_good(shard, server, flight, end->took_us, now_us);
 		break;
 	case HLT_SERVER_ERROR:
-	case HLT_BAD_ANSWER:
+	case HLT_INVALID_ANSWER:
 		server->connect_failures = 0;
 		if (!flight->counted_overdue)
 			note_bad(server, now_us);
@@ -151,13 +151,13 @@
 	}
 }
 
-void hlt_finished(struct hlt_shard *shard, uint32_t i, uint32_t token,
-		  const struct hlt_end *end, int64_t now_us)
+void hlt_request_finished(struct hlt_shard *shard, uint32_t i, uint32_t token,
+			  const struct hlt_end *end, int64_t now_us)
 {
 	struct hlt_server *server = &shard->servers[i];
 
 	for (guint f = 0; f < server->flights->len; f++) {
-		struct hlt_flight flight = *flight_at(server, f);
+		struct hlt_inflight flight = *flight_at(server, f);
 
 		if (flight.token != token)
 			continue;
@@ -167,8 +167,8 @@
 	}
 }
 
-void hlt_probed(struct hlt_shard *shard, uint32_t i, bool reachable,
-		int64_t now_us)
+void hlt_probe_finished(struct hlt_shard *shard, uint32_t i, bool reachable,
+			int64_t now_us)
 {
 	(void)now_us;
 	shard->servers[i].reachable = reachable;
@@ -180,7 +180,7 @@
 		struct hlt_server *server = &shard->servers[i];
 
 		for (guint f = 0; f < server->flights->len; f++) {
-			struct hlt_flight *flight = flight_at(server, f);
+			struct hlt_inflight *flight = flight_at(server, f);
 
 			if (flight->counted_overdue ||
 			    !hlt_is_overdue(shard, flight, now_us))
@@ -191,8 +191,8 @@
 	}
 }
 
-void hlt_gather(struct hlt_shard *shard, uint32_t i, int64_t now_us,
-		struct hlt_evidence *out)
+void hlt_collect_evidence(struct hlt_shard *shard, uint32_t i, int64_t now_us,
+			  struct hlt_evidence *out)
 {
 	struct hlt_server *server = &shard->servers[i];
 
--- a/src/hlt_floor.c
+++ b/src/hlt_floor.c
@@ -1,15 +1,16 @@
 #include "hlt_rules.h"
 #include "hlt_state.h"
 
-int64_t hlt_room(const struct hlt_shard *shard)
+int64_t hlt_shard_headroom(const struct hlt_shard *shard)
 {
-	return hlt_steer_room(shard->first, shard->count, shard->region_count,
-			      shard->region_out, shard->region_floor);
+	return hlt_steering_headroom(shard->first, shard->count,
+				     shard->region_count, shard->region_out,
+				     shard->region_floor);
 }
 
 static bool is_steered(const struct hlt_server *server)
 {
-	return !server->ejected && server->judged != HLT_FIT;
+	return !server->ejected && server->judged != HLT_HEALTHY;
 }
 
 /* Whether @p a is worse off than @p b: it is kept away from work first. */
@@ -61,10 +62,10 @@
 	aud_emit(aud, &rec);
 }
 
-void hlt_bound_steering(struct hlt_shard *shard, struct aud *aud,
+void hlt_limit_steering(struct hlt_shard *shard, struct aud *aud,
 			int64_t now_us)
 {
-	int64_t room = hlt_room(shard);
+	int64_t room = hlt_shard_headroom(shard);
 	int64_t ranks[FS_SHARD_SERVERS_MAX];
 	int64_t steered = 0;
 
@@ -82,7 +83,7 @@
 	}
 }
 
-bool hlt_kept_for_floor(const struct hlt_shard *shard, uint32_t i)
+bool hlt_retained_for_floor(const struct hlt_shard *shard, uint32_t i)
 {
 	return is_steered(&shard->servers[i]) && shard->servers[i].given_back;
 }
--- a/src/hlt_judge.c
+++ b/src/hlt_judge.c
@@ -4,20 +4,20 @@
 #define ASK_SPACING_US (2 * FS_US_PER_S)   /* between two asks for a server */
 #define TELL_SPACING_US (60 * FS_US_PER_S) /* between two records of it */
 
-uint32_t hlt_sick_count(const struct hlt_shard *shard)
+uint32_t hlt_unhealthy_count(const struct hlt_shard *shard)
 {
 	uint32_t sick = 0;
 
 	for (uint32_t i = 0; i < shard->count; i++)
 		sick += shard->servers[i].ejected ||
-			shard->servers[i].judged != HLT_FIT;
+			shard->servers[i].judged != HLT_HEALTHY;
 	return sick;
 }
 
-bool hlt_shard_sick(const struct hlt_shard *shard)
+bool hlt_shard_unhealthy(const struct hlt_shard *shard)
 {
-	return hlt_rule_common(shard->params, hlt_sick_count(shard),
-			       shard->count);
+	return hlt_rule_common_cause(shard->params, hlt_unhealthy_count(shard),
+				     shard->count);
 }
 
 /* The first rule that calls the server sick, or AUD_RULE_COUNT. */
@@ -60,7 +60,7 @@
 	bool relapse = server->has_cleared &&
 		       now_us - server->cleared_us < shard->params->relapse_us;
 
-	server->judged = HLT_SUSPECT;
+	server->judged = HLT_SUSPECTED;
 	server->rule = rule;
 	server->sick_us = now_us;
 	server->sick_bad = e->own.bad;
@@ -92,7 +92,7 @@
 		aud_add(&rec, "reachable", server->reachable);
 		aud_emit(aud, &rec);
 	}
-	server->judged = HLT_FIT;
+	server->judged = HLT_HEALTHY;
 	server->rule = AUD_RULE_COUNT;
 	server->cleared_us = now_us;
 	server->has_cleared = true;
@@ -109,9 +109,9 @@
 	struct hlt_evidence e;
 	enum aud_rule rule;
 
-	hlt_gather(shard, i, now_us, &e);
+	hlt_collect_evidence(shard, i, now_us, &e);
 	rule = find_rule(p, server, &e);
-	if (server->judged == HLT_FIT) {
+	if (server->judged == HLT_HEALTHY) {
 		if (rule != AUD_RULE_COUNT)
 			become_suspect(shard, i, rule, &e, aud, now_us);
 		return;
@@ -122,7 +122,7 @@
 		become_fit(shard, i, aud, now_us);
 		return;
 	}
-	if (server->judged != HLT_SUSPECT || rule == AUD_RULE_COUNT ||
+	if (server->judged != HLT_SUSPECTED || rule == AUD_RULE_COUNT ||
 	    !hlt_rule_trial(p, hlt_rule_is_hard(rule),
 			    now_us - server->sick_us))
 		return;
@@ -145,7 +145,7 @@
 	if (rule == AUD_R_EJECT_DEPENDENCY) {
 		aud_add(&rec, "dependency_sick", 1);
 	} else {
-		aud_add(&rec, "sick", hlt_sick_count(shard));
+		aud_add(&rec, "sick", hlt_unhealthy_count(shard));
 		aud_add(&rec, "count", shard->count);
 	}
 	aud_emit(aud, &rec);
@@ -164,7 +164,7 @@
 		record_refused(shard, i, AUD_R_EJECT_DEPENDENCY, aud, now_us);
 		return false;
 	}
-	if (hlt_shard_sick(shard)) {
+	if (hlt_shard_unhealthy(shard)) {
 		record_refused(shard, i, AUD_R_EJECT_COMMON, aud, now_us);
 		return false;
 	}
@@ -183,7 +183,7 @@
 	    (server->told_us && now_us - server->told_us < TELL_SPACING_US))
 		return;
 	server->told_us = now_us;
-	if (action == HLT_ACT_ASK_EJECT) {
+	if (action == HLT_ACT_REQUEST_EJECTION) {
 		hlt_record_begin(shard, i, server->rule, "eject_asked", now_us,
 				 &rec);
 		aud_add(&rec, "since_us", now_us - server->sick_us);
@@ -209,12 +209,12 @@
 	if (server->ejected) {
 		int64_t from_us = MAX(server->last_bad_us, server->ejected_us);
 
-		if (hlt_rule_return(shard->params, server->good_run,
-				    now_us - from_us, server->ejections,
-				    server->reachable))
-			action = HLT_ACT_ASK_RETURN;
+		if (hlt_rule_reinstate(shard->params, server->good_run,
+				       now_us - from_us, server->ejections,
+				       server->reachable))
+			action = HLT_ACT_REQUEST_REINSTATEMENT;
 	} else if (may_ask_eject(shard, i, aud, now_us)) {
-		action = HLT_ACT_ASK_EJECT;
+		action = HLT_ACT_REQUEST_EJECTION;
 	}
 	if (action == HLT_ACT_NONE || now_us < server->ask_next_us)
 		return HLT_ACT_NONE;
@@ -226,12 +226,12 @@
 void hlt_tick(struct hlt_shard *shard, struct aud *aud, int64_t now_us,
 	      enum hlt_action *actions, enum aud_rule *rules)
 {
-	hlt_lapse(shard, now_us);
+	hlt_expire_record(shard, now_us);
 	hlt_lat_update(&shard->lat, now_us);
 	hlt_count_overdue(shard, now_us);
 	for (uint32_t i = 0; i < shard->count; i++)
 		judge(shard, i, aud, now_us);
-	hlt_bound_steering(shard, aud, now_us);
+	hlt_limit_steering(shard, aud, now_us);
 	for (uint32_t i = 0; i < shard->count; i++) {
 		rules[i] = shard->servers[i].rule;
 		actions[i] = choose_action(shard, i, aud, now_us);
--- a/src/hlt_lat.c
+++ b/src/hlt_lat.c
@@ -48,7 +48,7 @@
 	return (5LL + bucket % 4) << (power - 2);
 }
 
-void hlt_lat_note(struct hlt_lat *lat, uint32_t band, int64_t took_us)
+void hlt_lat_record(struct hlt_lat *lat, uint32_t band, int64_t took_us)
 {
 	struct hlt_lat_band *c = &lat->bands[band];
 
@@ -63,7 +63,7 @@
 	uint64_t seen = 0;
 	uint32_t bucket = 0;
 
-	if (total < HLT_LAT_ENOUGH)
+	if (total < HLT_LAT_SAMPLES_MIN)
 		return -1;
 	for (; bucket < HLT_LAT_BUCKETS - 1; bucket++) {
 		seen += (uint64_t)c->buckets[0][bucket] + c->buckets[1][bucket];
@@ -86,7 +86,7 @@
 
 void hlt_lat_update(struct hlt_lat *lat, int64_t now_us)
 {
-	if (now_us - lat->rotated_us >= HLT_LAT_SPAN_US) {
+	if (now_us - lat->rotated_us >= HLT_LAT_ROTATION_US) {
 		rotate(lat);
 		lat->rotated_us = now_us;
 	}
--- a/src/hlt_lat.h
+++ b/src/hlt_lat.h
@@ -5,7 +5,7 @@
  * Requests are told apart by their deadline, in bands of a power of two, so
  * that large answers with long deadlines are compared with their like. Each
  * band has two generations of buckets, four per power of two; the older one
- * is dropped every HLT_LAT_SPAN_US.
+ * is dropped every HLT_LAT_ROTATION_US.
  */
 #ifndef HLT_LAT_H
 #define HLT_LAT_H
@@ -14,8 +14,8 @@
 
 #define HLT_LAT_BANDS 8
 #define HLT_LAT_BUCKETS 96
-#define HLT_LAT_SPAN_US (30 * FS_US_PER_S)
-#define HLT_LAT_ENOUGH 20 /* answers, for a quantile to mean something */
+#define HLT_LAT_ROTATION_US (30 * FS_US_PER_S)
+#define HLT_LAT_SAMPLES_MIN 20 /* answers, for a quantile to mean something */
 
 /** One band. */
 struct hlt_lat_band {
@@ -37,7 +37,7 @@
 uint32_t hlt_lat_band_of(int64_t deadline_us);
 
 /** Notes a good answer. */
-void hlt_lat_note(struct hlt_lat *lat, uint32_t band, int64_t took_us);
+void hlt_lat_record(struct hlt_lat *lat, uint32_t band, int64_t took_us);
 
 /** Drops old answers and computes the quantiles again. */
 void hlt_lat_update(struct hlt_lat *lat, int64_t now_us);
--- a/src/hlt_rules.c
+++ b/src/hlt_rules.c
@@ -68,8 +68,8 @@
 			p->idle_clear_us << shift, reachable);
 }
 
-bool hlt_rule_return(const struct hlt_params *p, int64_t good_run,
-		     int64_t quiet_us, int64_t ejections, bool reachable)
+bool hlt_rule_reinstate(const struct hlt_params *p, int64_t good_run,
+			int64_t quiet_us, int64_t ejections, bool reachable)
 {
 	int64_t shift = CLAMP(ejections - 1, 0, p->shift_max);
 
@@ -85,13 +85,14 @@
 	       last_bad_us <= p->eject_recent_us;
 }
 
-bool hlt_rule_common(const struct hlt_params *p, int64_t sick, int64_t count)
+bool hlt_rule_common_cause(const struct hlt_params *p, int64_t sick,
+			   int64_t count)
 {
 	return sick * 1000 > count * p->common_permille;
 }
 
-int64_t hlt_steer_room(int64_t first, int64_t servers, int64_t count,
-		       int64_t out, int64_t floor)
+int64_t hlt_steering_headroom(int64_t first, int64_t servers, int64_t count,
+			      int64_t out, int64_t floor)
 {
 	int64_t room = MAX(count - floor - out, 0);
 
--- a/src/hlt_rules.h
+++ b/src/hlt_rules.h
@@ -35,15 +35,16 @@
 		    int64_t quiet_us, int64_t relapses, bool reachable);
 
 /** An ejected server may return; as above, with longer times. */
-bool hlt_rule_return(const struct hlt_params *p, int64_t good_run,
-		     int64_t quiet_us, int64_t ejections, bool reachable);
+bool hlt_rule_reinstate(const struct hlt_params *p, int64_t good_run,
+			int64_t quiet_us, int64_t ejections, bool reachable);
 
 /** A sick server is to be ejected, if nothing speaks against it. */
 bool hlt_rule_eject(const struct hlt_params *p, int64_t since_us, int64_t bad,
 		    int64_t last_bad_us);
 
 /** More servers are sick together than one cause each would explain. */
-bool hlt_rule_common(const struct hlt_params *p, int64_t sick, int64_t count);
+bool hlt_rule_common_cause(const struct hlt_params *p, int64_t sick,
+			   int64_t count);
 
 /**
  * Returns how many servers of a shard may be steered away from.
@@ -53,7 +54,7 @@
  * @param out      of those, ejected
  * @param floor    of those, to stay in use
  */
-int64_t hlt_steer_room(int64_t first, int64_t servers, int64_t count,
-		       int64_t out, int64_t floor);
+int64_t hlt_steering_headroom(int64_t first, int64_t servers, int64_t count,
+			      int64_t out, int64_t floor);
 
 #endif
--- a/src/hlt_state.h
+++ b/src/hlt_state.h
@@ -11,7 +11,7 @@
 #include "hlt_window.h"
 
 /** A request that a server has. */
-struct hlt_flight {
+struct hlt_inflight {
 	uint32_t token;
 	uint32_t band; /* of its deadline */
 	int64_t started_us;
@@ -24,7 +24,7 @@
 	char name[FS_NAME_MAX];
 	/* Evidence */
 	struct hlt_window window;
-	GArray *flights;	   /* struct hlt_flight */
+	GArray *flights;	   /* struct hlt_inflight */
 	uint32_t connect_failures; /* in a row */
 	bool reachable;		   /* by the last probe */
 	int64_t last_good_us;
@@ -83,14 +83,14 @@
 
 /** Returns whether a request has been running for too long. */
 bool hlt_is_overdue(const struct hlt_shard *shard,
-		    const struct hlt_flight *flight, int64_t now_us);
+		    const struct hlt_inflight *flight, int64_t now_us);
 
 /** Counts requests that have become overdue as bad outcomes. */
 void hlt_count_overdue(struct hlt_shard *shard, int64_t now_us);
 
 /** Gathers the numbers of server @p i. */
-void hlt_gather(struct hlt_shard *shard, uint32_t i, int64_t now_us,
-		struct hlt_evidence *out);
+void hlt_collect_evidence(struct hlt_shard *shard, uint32_t i, int64_t now_us,
+			  struct hlt_evidence *out);
 
 /** Returns whether the rule says that nothing is answered at all. */
 static inline bool hlt_rule_is_hard(enum aud_rule rule)
@@ -99,13 +99,13 @@
 }
 
 /** Returns how many servers are sick by evidence or ejected. */
-uint32_t hlt_sick_count(const struct hlt_shard *shard);
+uint32_t hlt_unhealthy_count(const struct hlt_shard *shard);
 
 /** Returns how many servers may be steered away from now. */
-int64_t hlt_room(const struct hlt_shard *shard);
+int64_t hlt_shard_headroom(const struct hlt_shard *shard);
 
 /** Gives all ejected servers back if the record has lapsed. */
-void hlt_lapse(struct hlt_shard *shard, int64_t now_us);
+void hlt_expire_record(struct hlt_shard *shard, int64_t now_us);
 
 /** Starts a record about server @p i. */
 void hlt_record_begin(const struct hlt_shard *shard, uint32_t i,
@@ -118,7 +118,7 @@
 			 struct aud_record *rec);
 
 /** Gives back the least bad servers while the floor asks for it. */
-void hlt_bound_steering(struct hlt_shard *shard, struct aud *aud,
+void hlt_limit_steering(struct hlt_shard *shard, struct aud *aud,
 			int64_t now_us);
 
 #endif
--- a/src/lod.c
+++ b/src/lod.c
@@ -6,7 +6,8 @@
 #define UNSERVED_REQUESTS_MIN 20.0
 #define UNSERVED_REQUESTS_MAX 200.0
 
-void lod_begin(struct lod *lod, struct lod_packet *packet, enum lod_type type)
+void lod_start_packet(struct lod *lod, struct lod_packet *packet,
+		      enum lod_type type)
 {
 	lod_packet_init(packet, type);
 	packet->sender = lod->node->self;
@@ -15,41 +16,43 @@
 	packet->domain = lod->domain;
 }
 
-void lod_change(struct lod *lod, struct dir_target *target)
+void lod_in_flight_changed(struct lod *lod, struct dir_target *target)
 {
 	lod->changed = true;
 	g_hash_table_add(lod->to_tell, GUINT_TO_POINTER(target->hash));
 }
 
-void lod_outcome(struct lod *lod, struct dir_target *target,
-		 enum gry_outcome outcome, int64_t took_us)
+void lod_record_outcome(struct lod *lod, struct dir_target *target,
+			enum gry_outcome outcome, int64_t took_us)
 {
 	struct lod_evidence e = {
 		.origin = lod->node->self,
 		.target = target->hash,
 		.outcome = outcome,
 		.count = 1,
-		.took_us = outcome == GRY_GOOD ? took_us : 0,
+		.took_us = outcome == GRY_SUCCESS ? took_us : 0,
 	};
 
 	int64_t now_us = fs_now_us();
 
 	lod->changed = true;
-	lod_judge_queue(lod, &lod->evidence, &e);
+	lod_evidence_enqueue(lod, &lod->evidence, &e);
 	lod_judge(lod, &e, true);
-	if (outcome == GRY_GOOD || outcome == GRY_FULL)
+	if (outcome == GRY_SUCCESS || outcome == GRY_FULL)
 		return;
 	lod->urgent = true;
-	lod_hurry(lod, lod->reported_us + LOD_URGENT_REPORT_US, now_us);
+	lod_schedule_flush(
+		lod, lod->reported_us + LOD_URGENT_REPORT_INTERVAL_US, now_us);
 }
 
-void lod_add_sends(GHashTable *table, const struct lod_sends *sends)
+void lod_add_service_counts(GHashTable *table,
+			    const struct lod_service_counts *sends)
 {
 	void *key = GUINT_TO_POINTER(sends->service);
-	struct lod_sends *row = g_hash_table_lookup(table, key);
+	struct lod_service_counts *row = g_hash_table_lookup(table, key);
 
 	if (!row) {
-		row = g_new0(struct lod_sends, 1);
+		row = g_new0(struct lod_service_counts, 1);
 		row->service = sends->service;
 		g_hash_table_insert(table, key, row);
 	}
@@ -58,73 +61,73 @@
 	row->unserved += sends->unserved;
 }
 
-void lod_sent(struct lod *lod, const char *service, uint32_t requests,
-	      uint32_t repeats, uint32_t unserved)
+void lod_record_requests(struct lod *lod, const char *service,
+			 uint32_t requests, uint32_t repeats, uint32_t unserved)
 {
-	const struct lod_sends sends = {
+	const struct lod_service_counts sends = {
 		.service = lod_name_hash(service),
 		.requests = requests,
 		.repeats = repeats,
 		.unserved = unserved,
 	};
 
-	lod_add_sends(lod->sends, &sends);
+	lod_add_service_counts(lod->sends, &sends);
 	lod->changed = true;
 }
 
-static struct lod_pool *pool_of(struct lod *lod, uint32_t service)
+static struct lod_service_stats *pool_of(struct lod *lod, uint32_t service)
 {
 	void *key = GUINT_TO_POINTER(service);
-	struct lod_pool *pool = g_hash_table_lookup(lod->pools, key);
+	struct lod_service_stats *pool = g_hash_table_lookup(lod->pools, key);
 
 	if (!pool) {
-		pool = g_new0(struct lod_pool, 1);
+		pool = g_new0(struct lod_service_stats, 1);
 		g_hash_table_insert(lod->pools, key, pool);
 	}
 	return pool;
 }
 
-double lod_budget_left(struct lod *lod, const char *service,
-		       const struct bud_rule *rule, int64_t now_us)
+double lod_retry_budget_left(struct lod *lod, const char *service,
+			     const struct bud_rule *rule, int64_t now_us)
 {
 	struct bud_rule part = *rule;
 
 	part.ratio *= POOL_SHARE;
 	part.slack *= POOL_SHARE;
-	return bud_left(&pool_of(lod, lod_name_hash(service))->budget, &part, 1,
-			now_us);
+	return bud_retries_left(&pool_of(lod, lod_name_hash(service))->budget,
+				&part, 1, now_us);
 }
 
-double lod_rate(struct lod *lod, const char *service, int64_t now_us)
+double lod_request_rate(struct lod *lod, const char *service, int64_t now_us)
 {
-	return bud_rate(&pool_of(lod, lod_name_hash(service))->budget,
-			&lod->rule, now_us);
+	return bud_request_rate(&pool_of(lod, lod_name_hash(service))->budget,
+				&lod->rule, now_us);
 }
 
-double lod_unserved(const struct lod *lod, const char *service)
+double lod_unserved_share(const struct lod *lod, const char *service)
 {
-	const struct lod_pool *pool = g_hash_table_lookup(
+	const struct lod_service_stats *pool = g_hash_table_lookup(
 		lod->pools, GUINT_TO_POINTER(lod_name_hash(service)));
 
 	return pool ? pool->unserved : 0.0;
 }
 
-static void take_sends(struct lod *lod, const struct lod_sends *sends,
+static void take_sends(struct lod *lod, const struct lod_service_counts *sends,
 		       int64_t now_us)
 {
-	struct lod_pool *pool = pool_of(lod, sends->service);
+	struct lod_service_stats *pool = pool_of(lod, sends->service);
 
-	double weight = 1.0 / CLAMP(bud_rate(&pool->budget, &lod->rule, now_us),
-				    UNSERVED_REQUESTS_MIN,
-				    UNSERVED_REQUESTS_MAX);
+	double weight =
+		1.0 / CLAMP(bud_request_rate(&pool->budget, &lod->rule, now_us),
+			    UNSERVED_REQUESTS_MIN, UNSERVED_REQUESTS_MAX);
 
 	for (uint32_t i = 0; i < sends->requests; i++)
 		pool->unserved -= weight * pool->unserved;
 	pool->unserved += weight * sends->unserved;
 	for (uint32_t i = 0; i < sends->requests; i++)
-		bud_request(&pool->budget, &lod->rule, now_us);
+		bud_count_request(&pool->budget, &lod->rule, now_us);
 	for (uint32_t i = 0; i < sends->repeats; i++)
-		bud_repeat(&pool->budget, &lod->rule, now_us);
+		bud_count_retry(&pool->budget, &lod->rule, now_us);
 }
 
 /* Sets what others have at a target: all domains' counts but this node's. */
@@ -143,10 +146,10 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		total += lod_counts_get(&((struct lod_domain *)value)->counts,
 					hash);
-	bal_of(target, fs_now_us())->others = total - MIN(own, total);
+	bal_target_get(target, fs_now_us())->others = total - MIN(own, total);
 }
 
-static void note_send(struct lod *lod, const struct lod_count *c,
+static void note_send(struct lod *lod, const struct lod_target_count *c,
 		      int64_t now_us)
 {
 	struct dir_target *target = dir_target_by_hash(lod->dir, c->target);
@@ -154,7 +157,7 @@
 
 	if (!target || c->sent_ago_us >= LOD_SENT_AGO_MAX_US)
 		return;
-	kept = bal_of(target, now_us);
+	kept = bal_target_get(target, now_us);
 	kept->sent_us = MAX(kept->sent_us, now_us - c->sent_ago_us);
 }
 
@@ -195,8 +198,8 @@
 	bus_send(lod->node->bus, m);
 }
 
-void lod_take_digest(struct lod *lod, const struct lod_packet *packet,
-		     int64_t now_us)
+void lod_apply_digest(struct lod *lod, const struct lod_packet *packet,
+		      int64_t now_us)
 {
 	struct lod_domain *domain = domain_of(lod, packet->domain);
 
@@ -208,10 +211,10 @@
 	domain->incarnation = packet->incarnation;
 	domain->serial = packet->serial;
 	if (packet->domain == lod->domain && packet->sender != lod->node->self)
-		lod->hub_heard_us = now_us;
+		lod->hub_last_rx_us = now_us;
 	for (guint i = 0; i < packet->counts->len; i++) {
-		const struct lod_count *c =
-			&g_array_index(packet->counts, struct lod_count, i);
+		const struct lod_target_count *c = &g_array_index(
+			packet->counts, struct lod_target_count, i);
 
 		lod_counts_put(&domain->counts, c->target, c->requests, now_us);
 		set_others(lod, c->target);
@@ -226,7 +229,8 @@
 	}
 	for (guint i = 0; i < packet->sends->len; i++)
 		take_sends(lod,
-			   &g_array_index(packet->sends, struct lod_sends, i),
+			   &g_array_index(packet->sends,
+					  struct lod_service_counts, i),
 			   now_us);
 }
 
@@ -238,8 +242,8 @@
 
 	g_hash_table_iter_init(&iter, lod->domains);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		lod_counts_lapse(&((struct lod_domain *)value)->counts,
-				 now_us - LOD_STALE_US, lapsed);
+		lod_counts_expire(&((struct lod_domain *)value)->counts,
+				  now_us - LOD_COUNT_EXPIRY_US, lapsed);
 	for (guint i = 0; i < lapsed->len; i++)
 		set_others(lod, g_array_index(lapsed, uint32_t, i));
 	ctr_count(lod->node->ctr, "lod_counts_lapsed", lapsed->len);
@@ -257,7 +261,7 @@
 	while (g_hash_table_iter_next(&iter, &hash, NULL)) {
 		struct dir_target *target =
 			dir_target_by_hash(lod->dir, GPOINTER_TO_UINT(hash));
-		struct lod_count c = {.target = GPOINTER_TO_UINT(hash)};
+		struct lod_target_count c = {.target = GPOINTER_TO_UINT(hash)};
 
 		if (!target) {
 			g_hash_table_iter_remove(&iter);
@@ -267,8 +271,9 @@
 			ctr_add(lod->node->ctr, lod->left, 1);
 			continue;
 		}
-		c.requests = bal_of(target, now_us)->own;
-		c.sent_ago_us = now_us - bal_of(target, now_us)->sent_us;
+		c.requests = bal_target_get(target, now_us)->own;
+		c.sent_ago_us =
+			now_us - bal_target_get(target, now_us)->sent_us;
 		g_array_append_val(packet->counts, c);
 		if (c.requests)
 			g_hash_table_insert(lod->own, hash,
@@ -284,9 +289,10 @@
 	void *value;
 
 	g_hash_table_iter_init(&iter, lod->sends);
-	while (packet->sends->len < LOD_SENDS_MAX &&
+	while (packet->sends->len < LOD_SERVICE_COUNTS_MAX &&
 	       g_hash_table_iter_next(&iter, NULL, &value)) {
-		g_array_append_val(packet->sends, *(struct lod_sends *)value);
+		g_array_append_val(packet->sends,
+				   *(struct lod_service_counts *)value);
 		g_hash_table_iter_remove(&iter);
 	}
 }
@@ -296,18 +302,18 @@
 	g_autoptr(GByteArray) data = g_byte_array_new();
 	struct lod_packet packet;
 
-	lod_begin(lod, &packet, LOD_REPORT);
+	lod_start_packet(lod, &packet, LOD_REPORT);
 	add_own_counts(lod, &packet, now_us);
-	lod_queue_take(&lod->evidence, packet.evidence, LOD_EVIDENCE_MAX);
+	lod_queue_dequeue(&lod->evidence, packet.evidence, LOD_EVIDENCE_MAX);
 	add_sends(lod, &packet);
 	if (lod->hubs[0] == lod->node->self || lod->hubs[1] == lod->node->self)
-		lod_hub_report(lod, &packet, now_us);
+		lod_hub_receive_report(lod, &packet, now_us);
 	if (!lod_wire_encode(&packet, lod->node->set.fleet_key, data)) {
-		lod_send(lod, data, lod->hubs[0]);
-		lod_send(lod, data, lod->hubs[1]);
+		lod_send_to_node(lod, data, lod->hubs[0]);
+		lod_send_to_node(lod, data, lod->hubs[1]);
 	}
 	lod_packet_clear(&packet);
-	lod->changed = lod_queue_waiting(&lod->evidence) > 0;
+	lod->changed = lod_queue_pending(&lod->evidence) > 0;
 	lod->urgent = lod->changed;
 	lod->reported_us = now_us;
 }
@@ -317,8 +323,9 @@
 	if (lod->urgent)
 		return 0;
 	if (!lod->changed)
-		return LOD_REPEAT_US;
-	return MAX(LOD_REPORT_US, lod->domain_nodes * LOD_REPORT_PEER_US);
+		return LOD_REFRESH_INTERVAL_US;
+	return MAX(LOD_REPORT_INTERVAL_US,
+		   lod->domain_nodes * LOD_REPORT_INTERVAL_PER_NODE_US);
 }
 
 /* Failures do not wait for the tick: report, and tell as a hub. */
@@ -336,12 +343,12 @@
 		report(lod, now_us);
 	again_us = lod_hub_flush(lod, now_us);
 	if (lod->urgent)
-		again_us = now_us + LOD_URGENT_REPORT_US;
+		again_us = now_us + LOD_URGENT_REPORT_INTERVAL_US;
 	if (again_us)
-		lod_hurry(lod, again_us, now_us);
+		lod_schedule_flush(lod, again_us, now_us);
 }
 
-void lod_hurry(struct lod *lod, int64_t at_us, int64_t now_us)
+void lod_schedule_flush(struct lod *lod, int64_t at_us, int64_t now_us)
 {
 	if (ev_is_active(&lod->flush))
 		return;
@@ -377,7 +384,7 @@
 		return;
 	mem_view_unref(lod->view);
 	lod->view = mem_view_ref(m->view.view);
-	lod_hub_choose(lod);
+	lod_hub_select(lod);
 }
 
 static const struct bus_task_ops ops = {
--- a/src/lod.h
+++ b/src/lod.h
@@ -16,7 +16,7 @@
  * first (lod_queue.h).
  *
  * Datagrams may be lost. Counts are told again and again, and lapse after
- * LOD_STALE_US if they are not; an outcome that is lost is missed.
+ * LOD_COUNT_EXPIRY_US if they are not; an outcome that is lost is missed.
  */
 #ifndef LOD_H
 #define LOD_H
@@ -25,7 +25,8 @@
 #include "bud.h"
 #include "node.h"
 
-#define LOD_STALE_US (2500 * FS_US_PER_MS) /* several digests are missing */
+#define LOD_COUNT_EXPIRY_US \
+	(2500 * FS_US_PER_MS) /* several digests are missing */
 
 struct lod;
 
@@ -33,31 +34,32 @@
 void lod_free(struct lod *lod);
 
 /** Notes that this node has one more or one less request at a target. */
-void lod_change(struct lod *lod, struct dir_target *target);
+void lod_in_flight_changed(struct lod *lod, struct dir_target *target);
 
 /** Notes an outcome. @param took_us  of a good one, else 0 */
-void lod_outcome(struct lod *lod, struct dir_target *target,
-		 enum gry_outcome outcome, int64_t took_us);
+void lod_record_outcome(struct lod *lod, struct dir_target *target,
+			enum gry_outcome outcome, int64_t took_us);
 
 /** Notes requests and repeats that this node sent a service, and requests
  *  that ended unserved. */
-void lod_sent(struct lod *lod, const char *service, uint32_t requests,
-	      uint32_t repeats, uint32_t unserved);
+void lod_record_requests(struct lod *lod, const char *service,
+			 uint32_t requests, uint32_t repeats,
+			 uint32_t unserved);
 
 /** Returns the share of a service's requests that ends unserved now, in the
  *  whole fleet. */
-double lod_unserved(const struct lod *lod, const char *service);
+double lod_unserved_share(const struct lod *lod, const char *service);
 
 /** Returns how many requests a second callers send a service, in the whole
  *  fleet. */
-double lod_rate(struct lod *lod, const char *service, int64_t now_us);
+double lod_request_rate(struct lod *lod, const char *service, int64_t now_us);
 
 /** Returns the mean time of good answers of a service, 0 if unknown. */
-int64_t lod_mean(const struct lod *lod, const char *service);
+int64_t lod_mean_latency(const struct lod *lod, const char *service);
 
 /** Returns how many repeats the whole fleet has left for a service, as far as
  *  it is known here. */
-double lod_budget_left(struct lod *lod, const char *service,
-		       const struct bud_rule *rule, int64_t now_us);
+double lod_retry_budget_left(struct lod *lod, const char *service,
+			     const struct bud_rule *rule, int64_t now_us);
 
 #endif
--- a/src/lod_counts.c
+++ b/src/lod_counts.c
@@ -42,8 +42,8 @@
 	return row ? row->requests : 0;
 }
 
-void lod_counts_lapse(struct lod_counts *counts, int64_t before_us,
-		      GArray *lapsed)
+void lod_counts_expire(struct lod_counts *counts, int64_t before_us,
+		       GArray *lapsed)
 {
 	GHashTableIter iter;
 	void *key;
@@ -62,13 +62,13 @@
 
 static int by_age(const void *a, const void *b)
 {
-	const struct lod_waiting *x = a;
-	const struct lod_waiting *y = b;
+	const struct lod_pending_count *x = a;
+	const struct lod_pending_count *y = b;
 
 	return x->told_us < y->told_us ? -1 : x->told_us > y->told_us;
 }
 
-guint lod_counts_first(GArray *waiting, guint max)
+guint lod_counts_select_oldest(GArray *waiting, guint max)
 {
 	guint dropped = waiting->len > max ? waiting->len - max : 0;
 
--- a/src/lod_hub.c
+++ b/src/lod_hub.c
@@ -1,6 +1,6 @@
 #include "lod_impl.h"
 
-void lod_hub_choose(struct lod *lod)
+void lod_hub_select(struct lod *lod)
 {
 	lod->domain_nodes =
 		mem_view_first(lod->view, lod->node->set.domain, lod->hubs);
@@ -12,19 +12,19 @@
 	       lod->hubs[1] == lod->node->self;
 }
 
-bool lod_hub_speaks(const struct lod *lod, int64_t now_us)
+bool lod_hub_is_active(const struct lod *lod, int64_t now_us)
 {
 	if (lod->hubs[0] == lod->node->self)
 		return true;
 	return lod->hubs[1] == lod->node->self &&
-	       now_us - lod->hub_heard_us > LOD_SILENT_US;
+	       now_us - lod->hub_last_rx_us > LOD_HUB_TIMEOUT_US;
 }
 
 /* Returns the pause between digests while failures are to be told. */
 static int64_t urgent_us(const struct lod *lod)
 {
-	return MAX(LOD_URGENT_DIGEST_US,
-		   lod->domain_nodes * LOD_URGENT_PEER_US);
+	return MAX(LOD_URGENT_DIGEST_INTERVAL_US,
+		   lod->domain_nodes * LOD_URGENT_DIGEST_PER_NODE_US);
 }
 
 static struct lod_peer *peer_of(struct lod *lod, node_id id)
@@ -40,22 +40,23 @@
 	return peer;
 }
 
-static struct lod_told *told_of(struct lod *lod, void *target)
+static struct lod_last_broadcast *told_of(struct lod *lod, void *target)
 {
-	struct lod_told *told = g_hash_table_lookup(lod->told, target);
+	struct lod_last_broadcast *told =
+		g_hash_table_lookup(lod->told, target);
 
 	if (!told) {
-		told = g_new0(struct lod_told, 1);
+		told = g_new0(struct lod_last_broadcast, 1);
 		told->sent_us = INT64_MIN / 2;
 		g_hash_table_insert(lod->told, target, told);
 	}
 	return told;
 }
 
-static void note_reported_send(struct lod *lod, const struct lod_count *c,
-			       int64_t now_us)
+static void note_reported_send(struct lod *lod,
+			       const struct lod_target_count *c, int64_t now_us)
 {
-	struct lod_told *told;
+	struct lod_last_broadcast *told;
 
 	if (c->sent_ago_us >= LOD_SENT_AGO_MAX_US)
 		return;
@@ -63,8 +64,8 @@
 	told->sent_us = MAX(told->sent_us, now_us - c->sent_ago_us);
 }
 
-void lod_hub_report(struct lod *lod, const struct lod_packet *packet,
-		    int64_t now_us)
+void lod_hub_receive_report(struct lod *lod, const struct lod_packet *packet,
+			    int64_t now_us)
 {
 	struct lod_peer *peer = peer_of(lod, packet->sender);
 
@@ -78,8 +79,8 @@
 	peer->last_rx_us = now_us;
 	g_hash_table_remove_all(peer->counts);
 	for (guint i = 0; i < packet->counts->len; i++) {
-		const struct lod_count *c =
-			&g_array_index(packet->counts, struct lod_count, i);
+		const struct lod_target_count *c = &g_array_index(
+			packet->counts, struct lod_target_count, i);
 
 		if (c->requests)
 			g_hash_table_insert(peer->counts,
@@ -91,15 +92,17 @@
 		const struct lod_evidence *e = &g_array_index(
 			packet->evidence, struct lod_evidence, i);
 
-		if (lod_judge_trusts(lod, e))
-			lod_judge_queue(lod, &lod->hub_evidence, e);
+		if (lod_evidence_is_reliable(lod, e))
+			lod_evidence_enqueue(lod, &lod->hub_evidence, e);
 	}
-	if (lod_queue_waiting(&lod->hub_evidence))
-		lod_hurry(lod, lod->digest_us + urgent_us(lod), now_us);
+	if (lod_queue_pending(&lod->hub_evidence))
+		lod_schedule_flush(lod, lod->digest_us + urgent_us(lod),
+				   now_us);
 	for (guint i = 0; i < packet->sends->len; i++)
-		lod_add_sends(
-			lod->hub_sends,
-			&g_array_index(packet->sends, struct lod_sends, i));
+		lod_add_service_counts(lod->hub_sends,
+				       &g_array_index(packet->sends,
+						      struct lod_service_counts,
+						      i));
 }
 
 static void add_counts(GHashTable *totals, GHashTable *counts)
@@ -129,7 +132,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct lod_peer *peer = value;
 
-		if (now_us - peer->last_rx_us > LOD_STALE_US)
+		if (now_us - peer->last_rx_us > LOD_COUNT_EXPIRY_US)
 			g_hash_table_iter_remove(&iter);
 		else
 			add_counts(totals, peer->counts);
@@ -141,15 +144,15 @@
 static void add_waiting(struct lod *lod, GArray *waiting, void *target,
 			uint32_t requests, int64_t now_us)
 {
-	const struct lod_told *told = told_of(lod, target);
-	struct lod_waiting w = {
+	const struct lod_last_broadcast *told = told_of(lod, target);
+	struct lod_pending_count w = {
 		.target = GPOINTER_TO_UINT(target),
 		.requests = requests,
 		.told_us = told->at_us,
 	};
 
 	if (told->requests != requests || told->sent_us > told->at_us ||
-	    now_us - told->at_us >= LOD_REPEAT_US)
+	    now_us - told->at_us >= LOD_REFRESH_INTERVAL_US)
 		g_array_append_val(waiting, w);
 }
 
@@ -167,13 +170,13 @@
 	/* A target without requests is told once, then forgotten. */
 	g_hash_table_iter_init(&iter, lod->told);
 	while (g_hash_table_iter_next(&iter, &target, &value)) {
-		struct lod_told *told = value;
+		struct lod_last_broadcast *told = value;
 
 		if (g_hash_table_contains(totals, target))
 			continue;
 		if (told->requests || told->sent_us > told->at_us)
 			add_waiting(lod, waiting, target, 0, now_us);
-		else if (now_us - told->at_us >= LOD_REPEAT_US)
+		else if (now_us - told->at_us >= LOD_REFRESH_INTERVAL_US)
 			g_hash_table_iter_remove(&iter);
 	}
 }
@@ -181,18 +184,18 @@
 static void add_totals(struct lod *lod, struct lod_packet *packet,
 		       int64_t now_us)
 {
-	g_autoptr(GArray)
-		waiting = g_array_new(FALSE, FALSE, sizeof(struct lod_waiting));
+	g_autoptr(GArray) waiting =
+		g_array_new(FALSE, FALSE, sizeof(struct lod_pending_count));
 
 	find_waiting(lod, waiting, now_us);
 	ctr_add(lod->node->ctr, lod->left,
-		lod_counts_first(waiting, LOD_COUNTS_MAX));
+		lod_counts_select_oldest(waiting, LOD_COUNTS_MAX));
 	for (guint i = 0; i < waiting->len; i++) {
-		const struct lod_waiting *w =
-			&g_array_index(waiting, struct lod_waiting, i);
-		struct lod_told *told =
+		const struct lod_pending_count *w =
+			&g_array_index(waiting, struct lod_pending_count, i);
+		struct lod_last_broadcast *told =
 			told_of(lod, GUINT_TO_POINTER(w->target));
-		struct lod_count c = {
+		struct lod_target_count c = {
 			.target = w->target,
 			.requests = w->requests,
 			.sent_ago_us = now_us - told->sent_us,
@@ -210,9 +213,10 @@
 	void *value;
 
 	g_hash_table_iter_init(&iter, from);
-	while (to->len < LOD_SENDS_MAX &&
+	while (to->len < LOD_SERVICE_COUNTS_MAX &&
 	       g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct lod_sends sends = *(struct lod_sends *)value;
+		struct lod_service_counts sends =
+			*(struct lod_service_counts *)value;
 
 		g_array_append_val(to, sends);
 		g_hash_table_iter_remove(&iter);
@@ -233,9 +237,9 @@
 		if (!g_hash_table_add(seen, (void *)domain))
 			continue;
 		mem_view_first(lod->view, domain, hubs);
-		lod_send(lod, data, hubs[0]);
-		if (lod->digests % LOD_SECOND_HUB == 0)
-			lod_send(lod, data, hubs[1]);
+		lod_send_to_node(lod, data, hubs[0]);
+		if (lod->digests % LOD_STANDBY_DIGEST_RATIO == 0)
+			lod_send_to_node(lod, data, hubs[1]);
 	}
 }
 
@@ -244,18 +248,19 @@
 	g_autoptr(GByteArray) data = g_byte_array_new();
 	struct lod_packet packet;
 
-	lod_begin(lod, &packet, LOD_DIGEST);
-	if (now_us - lod->feed_us < LOD_FEED_US)
+	lod_start_packet(lod, &packet, LOD_DIGEST);
+	if (now_us - lod->feed_us < LOD_FEED_MAX_AGE_US)
 		packet.feed = lod->feed;
 	add_totals(lod, &packet, now_us);
-	lod_queue_take(&lod->hub_evidence, packet.evidence, LOD_EVIDENCE_MAX);
+	lod_queue_dequeue(&lod->hub_evidence, packet.evidence,
+			  LOD_EVIDENCE_MAX);
 	move_sends(lod->hub_sends, packet.sends);
 	if (!lod_wire_encode(&packet, lod->node->set.fleet_key, data)) {
-		lod_send_domain(lod, data);
+		lod_broadcast_domain(lod, data);
 		publish_far(lod, data);
 		lod->digests++;
 	}
-	lod_take_digest(lod, &packet, now_us);
+	lod_apply_digest(lod, &packet, now_us);
 	lod_packet_clear(&packet);
 	lod->digest_us = now_us;
 }
@@ -265,13 +270,13 @@
 	if (!is_hub(lod))
 		return;
 	/* The second choice drops what the first one tells. */
-	if (!lod_hub_speaks(lod, now_us)) {
-		lod_queue_drop(&lod->hub_evidence);
+	if (!lod_hub_is_active(lod, now_us)) {
+		lod_queue_discard(&lod->hub_evidence);
 		g_hash_table_remove_all(lod->hub_sends);
 		return;
 	}
-	lod_use_log(lod, now_us);
-	if (now_us - lod->digest_us >= LOD_DIGEST_US)
+	lod_log_service_use(lod, now_us);
+	if (now_us - lod->digest_us >= LOD_DIGEST_INTERVAL_US)
 		tell_digest(lod, now_us);
 }
 
@@ -279,12 +284,12 @@
 {
 	int64_t due_us = lod->digest_us + urgent_us(lod);
 
-	if (!is_hub(lod) || !lod_hub_speaks(lod, now_us) ||
-	    !lod_queue_waiting(&lod->hub_evidence))
+	if (!is_hub(lod) || !lod_hub_is_active(lod, now_us) ||
+	    !lod_queue_pending(&lod->hub_evidence))
 		return 0;
 	if (now_us < due_us)
 		return due_us;
 	tell_digest(lod, now_us);
-	return lod_queue_waiting(&lod->hub_evidence) ? now_us + urgent_us(lod) :
+	return lod_queue_pending(&lod->hub_evidence) ? now_us + urgent_us(lod) :
 						       0;
 }
--- a/src/lod_impl.h
+++ b/src/lod_impl.h
@@ -12,24 +12,26 @@
 
 /* A node reports changes at most so often; with many nodes less often, so that
  * a hub takes at most two hundred reports a second. */
-#define LOD_REPORT_US (200 * FS_US_PER_MS)
-#define LOD_REPORT_PEER_US (5 * FS_US_PER_MS)
-#define LOD_REPEAT_US (1000 * FS_US_PER_MS) /* unchanged counts again */
-#define LOD_DIGEST_US (200 * FS_US_PER_MS)  /* between digests of a hub */
+#define LOD_REPORT_INTERVAL_US (200 * FS_US_PER_MS)
+#define LOD_REPORT_INTERVAL_PER_NODE_US (5 * FS_US_PER_MS)
+#define LOD_REFRESH_INTERVAL_US \
+	(1000 * FS_US_PER_MS) /* unchanged counts again */
+#define LOD_DIGEST_INTERVAL_US \
+	(200 * FS_US_PER_MS) /* between digests of a hub */
 /* A failure is told at once, but not more often than this: until others hear
  * of it they go on sending to the target. */
-#define LOD_URGENT_REPORT_US (20 * FS_US_PER_MS)
+#define LOD_URGENT_REPORT_INTERVAL_US (20 * FS_US_PER_MS)
 /* A hub sends a digest to each node of its domain: the pause grows with them,
  * so that it sends at most five hundred urgent datagrams a second. */
-#define LOD_URGENT_DIGEST_US (40 * FS_US_PER_MS)
-#define LOD_URGENT_PEER_US (2 * FS_US_PER_MS)
+#define LOD_URGENT_DIGEST_INTERVAL_US (40 * FS_US_PER_MS)
+#define LOD_URGENT_DIGEST_PER_NODE_US (2 * FS_US_PER_MS)
 /* Of the digests for another domain, the second choice there gets one in so
  * many: with five a second the news is no older than its silence. */
-#define LOD_SECOND_HUB 4u
+#define LOD_STANDBY_DIGEST_RATIO 4u
 /* What the feed task told is not told on once it is older than this. */
-#define LOD_FEED_US (300 * FS_US_PER_MS)
+#define LOD_FEED_MAX_AGE_US (300 * FS_US_PER_MS)
 /* The second choice speaks when the hub was silent for so long. */
-#define LOD_SILENT_US (700 * FS_US_PER_MS)
+#define LOD_HUB_TIMEOUT_US (700 * FS_US_PER_MS)
 
 /** Another node of this failure domain, as a hub knows it. */
 struct lod_peer {
@@ -49,19 +51,19 @@
 };
 
 /** Mean time of good answers of a service. */
-struct lod_mean {
+struct lod_mean_latency {
 	double us;
 	uint32_t count;
 };
 
 /** What the whole fleet sent a service. */
-struct lod_pool {
+struct lod_service_stats {
 	struct bud budget;
 	double unserved; /* share of requests, of the last fifty or so */
 };
 
 /** What a hub told last of a target. */
-struct lod_told {
+struct lod_last_broadcast {
 	uint32_t requests;
 	int64_t at_us;
 	int64_t sent_us; /* last send in the domain, as reported */
@@ -81,29 +83,29 @@
 	GHashTable *to_tell; /* target hashes for the next report */
 	struct lod_queue evidence; /* to be reported */
 	ev_timer flush;		   /* tells of failures between ticks */
-	GHashTable *sends;	   /* service hash to struct lod_sends */
+	GHashTable *sends; /* service hash to struct lod_service_counts */
 	bool changed;
 	bool urgent; /* an outcome that others should know at once */
 	int64_t reported_us;
 	/* What is known */
 	GHashTable *domains; /* hash to struct lod_domain */
 	GHashTable *trust;   /* as a hub: node_id * to double *, lod_judge.c */
-	GHashTable *means;   /* service name to struct lod_mean */
-	GHashTable *pools;   /* service hash to struct lod_pool */
+	GHashTable *means;   /* service name to struct lod_mean_latency */
+	GHashTable *pools;   /* service hash to struct lod_service_stats */
 	struct bud_rule rule;
 	/* As a hub */
 	node_id hubs[2]; /* of this domain: first and second choice */
 	uint32_t domain_nodes;
-	GHashTable *peers;	       /* node_id * to struct lod_peer */
-	GHashTable *told;	       /* target hash to struct lod_told */
+	GHashTable *peers; /* node_id * to struct lod_peer */
+	GHashTable *told;  /* target hash to struct lod_last_broadcast */
 	struct lod_queue hub_evidence; /* to be told */
-	GHashTable *hub_sends;	       /* service hash to struct lod_sends */
+	GHashTable *hub_sends; /* service hash to struct lod_service_counts */
 	int64_t digest_us;
 	int64_t use_logged_us;
-	uint32_t digests;     /* sent so far */
-	int64_t hub_heard_us; /* last digest of this domain's hub */
-	struct lod_feed feed; /* of this node's feed task */
-	int64_t feed_us;      /* when it was told */
+	uint32_t digests;	/* sent so far */
+	int64_t hub_last_rx_us; /* last digest of this domain's hub */
+	struct lod_feed feed;	/* of this node's feed task */
+	int64_t feed_us;	/* when it was told */
 	handle sent, received, refused;
 	handle left; /* counts that found no room in a datagram */
 };
@@ -119,46 +121,48 @@
 /** Applies outcomes to a target that this node sees. */
 void lod_judge(struct lod *lod, const struct lod_evidence *e, bool own);
 /** Adds an outcome to a queue, by what is known here of its target. */
-void lod_judge_queue(const struct lod *lod, struct lod_queue *queue,
-		     const struct lod_evidence *e);
+void lod_evidence_enqueue(const struct lod *lod, struct lod_queue *queue,
+			  const struct lod_evidence *e);
 /** Takes a node's outcome into account for how far its way is to be trusted.
  *  @return whether the outcome counts */
-bool lod_judge_trusts(struct lod *lod, const struct lod_evidence *e);
+bool lod_evidence_is_reliable(struct lod *lod, const struct lod_evidence *e);
 
 /* This domain's hub (lod_hub.c) */
-void lod_hub_choose(struct lod *lod);
-void lod_hub_report(struct lod *lod, const struct lod_packet *packet,
-		    int64_t now_us);
+void lod_hub_select(struct lod *lod);
+void lod_hub_receive_report(struct lod *lod, const struct lod_packet *packet,
+			    int64_t now_us);
 void lod_hub_tick(struct lod *lod, int64_t now_us);
 /** Tells of failures, if any wait. @return when to try again, 0: none wait */
 int64_t lod_hub_flush(struct lod *lod, int64_t now_us);
 
 /** Writes a line a service now and then: how its targets are used
  *  (lod_use.c). */
-void lod_use_log(struct lod *lod, int64_t now_us);
+void lod_log_service_use(struct lod *lod, int64_t now_us);
 
 /* Datagrams (lod_net.c) */
 int lod_net_open(struct lod *lod);
 void lod_net_close(struct lod *lod);
-void lod_send(struct lod *lod, const GByteArray *data, node_id to);
-void lod_send_domain(struct lod *lod, const GByteArray *data);
+void lod_send_to_node(struct lod *lod, const GByteArray *data, node_id to);
+void lod_broadcast_domain(struct lod *lod, const GByteArray *data);
 
 /** Returns whether this node speaks for its domain now. */
-bool lod_hub_speaks(const struct lod *lod, int64_t now_us);
+bool lod_hub_is_active(const struct lod *lod, int64_t now_us);
 
 /* This node (lod.c) */
 
 /** Starts a packet from this node. */
-void lod_begin(struct lod *lod, struct lod_packet *packet, enum lod_type type);
+void lod_start_packet(struct lod *lod, struct lod_packet *packet,
+		      enum lod_type type);
 
 /** Takes a digest, told by a hub or passed on by one. */
-void lod_take_digest(struct lod *lod, const struct lod_packet *packet,
-		     int64_t now_us);
+void lod_apply_digest(struct lod *lod, const struct lod_packet *packet,
+		      int64_t now_us);
 
 /** Has what waits told before the next tick. */
-void lod_hurry(struct lod *lod, int64_t at_us, int64_t now_us);
+void lod_schedule_flush(struct lod *lod, int64_t at_us, int64_t now_us);
 
-/** Adds sends to a table of struct lod_sends. */
-void lod_add_sends(GHashTable *table, const struct lod_sends *sends);
+/** Adds sends to a table of struct lod_service_counts. */
+void lod_add_service_counts(GHashTable *table,
+			    const struct lod_service_counts *sends);
 
 #endif
--- a/src/lod_judge.c
+++ b/src/lod_judge.c
@@ -20,10 +20,10 @@
 /* Such an answer did no work; it says nothing about the time that work takes. */
 #define WORK_MIN_US (10 * FS_US_PER_MS)
 
-bool lod_judge_trusts(struct lod *lod, const struct lod_evidence *e)
+bool lod_evidence_is_reliable(struct lod *lod, const struct lod_evidence *e)
 {
 	double *bad = g_hash_table_lookup(lod->trust, &e->origin);
-	bool path = gry_is_path(e->outcome);
+	bool path = gry_may_be_path_fault(e->outcome);
 
 	if (!bad) {
 		bad = g_new0(double, 1);
@@ -36,16 +36,17 @@
 	return !path || *bad < PATH_DISTRUST;
 }
 
-void lod_judge_queue(const struct lod *lod, struct lod_queue *queue,
-		     const struct lod_evidence *e)
+void lod_evidence_enqueue(const struct lod *lod, struct lod_queue *queue,
+			  const struct lod_evidence *e)
 {
 	struct dir_target *target = dir_target_by_hash(lod->dir, e->target);
 	int64_t now_us = fs_now_us();
 	uint64_t dropped = queue->dropped;
 
 	lod_queue_add(queue, e,
-		      target && gry_failure(&bal_of(target, now_us)->gry,
-					    now_us) > DOUBT);
+		      target && gry_failure_probability(
+					&bal_target_get(target, now_us)->gry,
+					now_us) > DOUBT);
 	if (queue->dropped > dropped)
 		ctr_count(lod->node->ctr, "lod_evidence_dropped",
 			  queue->dropped - dropped);
@@ -54,7 +55,7 @@
 /* How far an outcome that another node told counts here. */
 static double weight_of(const struct lod_evidence *e)
 {
-	if (!gry_is_path(e->outcome))
+	if (!gry_may_be_path_fault(e->outcome))
 		return 1.0;
 	return e->outcome == GRY_UNREACHABLE ? UNREACHABLE_TRUST : PATH_TRUST;
 }
@@ -62,19 +63,19 @@
 static void add_time(struct lod *lod, struct dir_target *target, int64_t us,
 		     int64_t now_us)
 {
-	struct lod_mean *mean =
+	struct lod_mean_latency *mean =
 		g_hash_table_lookup(lod->means, target->entry.service);
 
 	if (us < WORK_MIN_US)
 		return;
 	if (!mean) {
-		mean = g_new0(struct lod_mean, 1);
+		mean = g_new0(struct lod_mean_latency, 1);
 		g_hash_table_insert(lod->means, g_strdup(target->entry.service),
 				    mean);
 	}
 	if (mean->count >= MEAN_FIRST)
-		gry_note_time(&bal_of(target, now_us)->gry, us,
-			      (int64_t)mean->us, now_us);
+		gry_record_response_time(&bal_target_get(target, now_us)->gry,
+					 us, (int64_t)mean->us, now_us);
 	mean->count++;
 	mean->us +=
 		MAX(MEAN_WEIGHT, 1.0 / mean->count) * ((double)us - mean->us);
@@ -104,22 +105,24 @@
 
 	if (!target)
 		return;
-	gry = &bal_of(target, now_us)->gry;
-	was = gry_is_suspect(gry, now_us);
+	gry = &bal_target_get(target, now_us)->gry;
+	was = gry_is_suspected(gry, now_us);
 	for (uint32_t i = 0; i < e->count; i++) {
-		gry_note(gry, e->outcome, weight, now_us);
+		gry_record_outcome(gry, e->outcome, weight, now_us);
 		if (e->outcome == GRY_FULL)
 			bal_note_full(target, now_us);
-		if (e->outcome == GRY_GOOD)
+		if (e->outcome == GRY_SUCCESS)
 			add_time(lod, target, e->took_us / e->count, now_us);
 	}
-	if (was != gry_is_suspect(gry, now_us))
-		log_change(lod, target, e, own, !was, gry_failure(gry, now_us));
+	if (was != gry_is_suspected(gry, now_us))
+		log_change(lod, target, e, own, !was,
+			   gry_failure_probability(gry, now_us));
 }
 
-int64_t lod_mean(const struct lod *lod, const char *service)
+int64_t lod_mean_latency(const struct lod *lod, const char *service)
 {
-	const struct lod_mean *mean = g_hash_table_lookup(lod->means, service);
+	const struct lod_mean_latency *mean =
+		g_hash_table_lookup(lod->means, service);
 
 	return mean ? (int64_t)mean->us : 0;
 }
--- a/src/lod_net.c
+++ b/src/lod_net.c
@@ -20,7 +20,7 @@
 	ctr_add(lod->node->ctr, lod->sent, 1);
 }
 
-void lod_send(struct lod *lod, const GByteArray *data, node_id to)
+void lod_send_to_node(struct lod *lod, const GByteArray *data, node_id to)
 {
 	const struct mem_member *m = lod->view ? mem_view_find(lod->view, to) :
 						 NULL;
@@ -29,7 +29,7 @@
 		send_to(lod, data, m);
 }
 
-void lod_send_domain(struct lod *lod, const GByteArray *data)
+void lod_broadcast_domain(struct lod *lod, const GByteArray *data)
 {
 	for (uint32_t i = 0; i < lod->view->count; i++) {
 		const struct mem_member *m = &lod->view->members[i];
@@ -46,19 +46,19 @@
 	bool local = packet->domain == lod->domain;
 
 	if (packet->type == LOD_REPORT) {
-		lod_hub_report(lod, packet, now_us);
+		lod_hub_receive_report(lod, packet, now_us);
 		return;
 	}
 	if (packet->type != LOD_DIGEST || packet->sender == lod->node->self)
 		return;
 	/* A digest of another domain comes to the hub, which passes it on. */
-	if (!local && lod_hub_speaks(lod, now_us)) {
+	if (!local && lod_hub_is_active(lod, now_us)) {
 		g_autoptr(GByteArray) copy = g_byte_array_new();
 
 		g_byte_array_append(copy, data, (guint)size);
-		lod_send_domain(lod, copy);
+		lod_broadcast_domain(lod, copy);
 	}
-	lod_take_digest(lod, packet, now_us);
+	lod_apply_digest(lod, packet, now_us);
 }
 
 static void on_datagram(struct ev_loop *loop, ev_io *io, int events)
--- a/src/lod_queue.c
+++ b/src/lod_queue.c
@@ -37,7 +37,7 @@
 {
 	GArray *good = in_doubt ? queue->doubtful : queue->good;
 
-	if (e->outcome == GRY_GOOD) {
+	if (e->outcome == GRY_SUCCESS) {
 		if (!merge(good, e, false))
 			g_array_append_val(good, *e);
 		return;
@@ -61,7 +61,7 @@
 	g_array_remove_range(from, 0, n);
 }
 
-void lod_queue_take(struct lod_queue *queue, GArray *out, guint max)
+void lod_queue_dequeue(struct lod_queue *queue, GArray *out, guint max)
 {
 	move_rows(queue->failures, out, max);
 	move_rows(queue->doubtful, out, max);
@@ -69,14 +69,14 @@
 	g_array_set_size(queue->good, 0);
 }
 
-void lod_queue_drop(struct lod_queue *queue)
+void lod_queue_discard(struct lod_queue *queue)
 {
 	g_array_set_size(queue->failures, 0);
 	g_array_set_size(queue->doubtful, 0);
 	g_array_set_size(queue->good, 0);
 }
 
-guint lod_queue_waiting(const struct lod_queue *queue)
+guint lod_queue_pending(const struct lod_queue *queue)
 {
 	return queue->failures->len + queue->doubtful->len;
 }
--- a/src/lod_queue.h
+++ b/src/lod_queue.h
@@ -32,12 +32,12 @@
 
 /** Moves up to @p max rows to @p out, and drops what waits only as good news
  *  that changes nothing. */
-void lod_queue_take(struct lod_queue *queue, GArray *out, guint max);
+void lod_queue_dequeue(struct lod_queue *queue, GArray *out, guint max);
 
 /** Drops all. */
-void lod_queue_drop(struct lod_queue *queue);
+void lod_queue_discard(struct lod_queue *queue);
 
 /** Returns how many rows wait that have to be told. */
-guint lod_queue_waiting(const struct lod_queue *queue);
+guint lod_queue_pending(const struct lod_queue *queue);
 
 #endif
--- a/src/lod_use.c
+++ b/src/lod_use.c
@@ -35,7 +35,7 @@
 {
 	struct survey *survey = arg;
 	const struct bal_target *kept = target->judge;
-	bool suspected = kept && gry_is_suspect(&kept->gry, survey->now_us);
+	bool suspected = kept && gry_is_suspected(&kept->gry, survey->now_us);
 	struct use *use;
 
 	if (target->entry.leaving)
@@ -50,7 +50,7 @@
 	use->idle_suspected += suspected;
 }
 
-void lod_use_log(struct lod *lod, int64_t now_us)
+void lod_log_service_use(struct lod *lod, int64_t now_us)
 {
 	g_autoptr(GHashTable) uses =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -75,8 +75,9 @@
 			      "\"counts_left\":%" G_GUINT64_FORMAT,
 			      (const char *)service, use->targets, use->idle,
 			      use->idle_at_work, use->idle_suspected,
-			      use->suspected, lod_rate(lod, service, now_us),
-			      lod_unserved(lod, service),
+			      use->suspected,
+			      lod_request_rate(lod, service, now_us),
+			      lod_unserved_share(lod, service),
 			      ctr_get(lod->node->ctr, lod->left));
 	}
 }
--- a/src/lod_wire.c
+++ b/src/lod_wire.c
@@ -15,10 +15,12 @@
 {
 	memset(packet, 0, sizeof(*packet));
 	packet->type = type;
-	packet->counts = g_array_new(FALSE, TRUE, sizeof(struct lod_count));
+	packet->counts =
+		g_array_new(FALSE, TRUE, sizeof(struct lod_target_count));
 	packet->evidence =
 		g_array_new(FALSE, TRUE, sizeof(struct lod_evidence));
-	packet->sends = g_array_new(FALSE, TRUE, sizeof(struct lod_sends));
+	packet->sends =
+		g_array_new(FALSE, TRUE, sizeof(struct lod_service_counts));
 }
 
 void lod_packet_clear(struct lod_packet *packet)
@@ -43,8 +45,8 @@
 {
 	msgpack_pack_array(packer, (size_t)3 * packet->counts->len);
 	for (guint i = 0; i < packet->counts->len; i++) {
-		const struct lod_count *c =
-			&g_array_index(packet->counts, struct lod_count, i);
+		const struct lod_target_count *c = &g_array_index(
+			packet->counts, struct lod_target_count, i);
 
 		put(packer, c->target);
 		put(packer, c->requests);
@@ -65,8 +67,8 @@
 	}
 	msgpack_pack_array(packer, (size_t)4 * packet->sends->len);
 	for (guint i = 0; i < packet->sends->len; i++) {
-		const struct lod_sends *s =
-			&g_array_index(packet->sends, struct lod_sends, i);
+		const struct lod_service_counts *s = &g_array_index(
+			packet->sends, struct lod_service_counts, i);
 
 		put(packer, s->service);
 		put(packer, s->requests);
@@ -143,7 +145,7 @@
 	struct reader list = get_list(r, 3);
 
 	while (!list.bad && list.left) {
-		struct lod_count c = {0};
+		struct lod_target_count c = {0};
 
 		c.target = (uint32_t)get(&list, UINT32_MAX);
 		c.requests = (uint32_t)get(&list, REQUESTS_MAX);
@@ -182,7 +184,7 @@
 	struct reader list = get_list(r, 4);
 
 	while (!list.bad && list.left) {
-		struct lod_sends s = {0};
+		struct lod_service_counts s = {0};
 
 		s.service = (uint32_t)get(&list, UINT32_MAX);
 		s.requests = (uint32_t)get(&list, REQUESTS_MAX);
--- a/src/lod_wire.h
+++ b/src/lod_wire.h
@@ -17,7 +17,7 @@
 };
 
 /** Requests at a target. */
-struct lod_count {
+struct lod_target_count {
 	uint32_t target; /* dir_target.hash */
 	uint32_t requests;
 	int64_t sent_ago_us; /* since the last send; from LOD_SENT_AGO_MAX_US
@@ -34,7 +34,7 @@
 };
 
 /** Sends to a service. */
-struct lod_sends {
+struct lod_service_counts {
 	uint32_t service; /* hash of its name */
 	uint32_t requests;
 	uint32_t repeats;
@@ -56,9 +56,9 @@
 	uint32_t serial;
 	uint32_t domain;      /* hash of the sender's failure domain */
 	struct lod_feed feed; /* of digests */
-	GArray *counts;	      /* struct lod_count */
+	GArray *counts;	      /* struct lod_target_count */
 	GArray *evidence;     /* struct lod_evidence */
-	GArray *sends;	      /* struct lod_sends */
+	GArray *sends;	      /* struct lod_service_counts */
 };
 
 /** Sends are told in these steps, and as not told beyond the last step: this
@@ -69,7 +69,7 @@
 /** Room for rows in one datagram, by their largest size. */
 #define LOD_COUNTS_MAX 48
 #define LOD_EVIDENCE_MAX 24
-#define LOD_SENDS_MAX 16
+#define LOD_SERVICE_COUNTS_MAX 16
 
 void lod_packet_init(struct lod_packet *packet, enum lod_type type);
 void lod_packet_clear(struct lod_packet *packet);
--- a/src/prb.c
+++ b/src/prb.c
@@ -21,7 +21,7 @@
 };
 
 /** A probe for another node. */
-struct prb_asked {
+struct prb_remote {
 	struct prb *prb;
 	node_id from;
 	uint64_t serial;
@@ -35,7 +35,7 @@
 	struct cfg *cfg;
 	struct mem_view *view;
 	GHashTable *targets; /* name to struct prb_target */
-	GHashTable *asked;   /* struct prb_asked */
+	GHashTable *asked;   /* struct prb_remote */
 	ev_timer tick;
 	uint64_t probes;
 };
@@ -53,7 +53,7 @@
 
 static void asked_free(void *data)
 {
-	struct prb_asked *asked = data;
+	struct prb_remote *asked = data;
 
 	prb_call_free(asked->call);
 	g_free(asked->server);
@@ -85,7 +85,7 @@
 
 static void on_asked(void *arg, const struct prb_result *result)
 {
-	struct prb_asked *asked = arg;
+	struct prb_remote *asked = arg;
 	struct prb *prb = asked->prb;
 
 	asked->call = NULL;
@@ -189,12 +189,12 @@
 	handle h = prb->cfg ? cfg_find_server(prb->cfg, m->probe_ask.server) :
 			      FS_NONE;
 	const struct cfg_server *server;
-	struct prb_asked *asked;
+	struct prb_remote *asked;
 
 	if (h == FS_NONE || g_hash_table_size(prb->asked) >= ASKED_MAX)
 		return;
 	server = &prb->cfg->servers[h];
-	asked = g_new0(struct prb_asked, 1);
+	asked = g_new0(struct prb_remote, 1);
 	asked->prb = prb;
 	asked->from = m->from;
 	asked->serial = m->probe_ask.serial;
--- a/src/que.c
+++ b/src/que.c
@@ -40,7 +40,8 @@
 	return NULL;
 }
 
-struct que_item *que_victim(const struct que *que, enum cfg_priority priority)
+struct que_item *que_find_evictable(const struct que *que,
+				    enum cfg_priority priority)
 {
 	for (int p = CFG_PRIORITY_COUNT - 1; p > (int)priority; p--) {
 		if (que->waiting[p].tail)
@@ -49,7 +50,7 @@
 	return NULL;
 }
 
-uint32_t que_ahead(const struct que *que, enum cfg_priority priority)
+uint32_t que_count_ahead(const struct que *que, enum cfg_priority priority)
 {
 	uint32_t n = 0;
 
--- a/src/que.h
+++ b/src/que.h
@@ -49,9 +49,10 @@
  * Returns the item to give up for an arrival of @p priority: the youngest of
  * the lowest priority below it, or NULL if nothing lower waits.
  */
-struct que_item *que_victim(const struct que *que, enum cfg_priority priority);
+struct que_item *que_find_evictable(const struct que *que,
+				    enum cfg_priority priority);
 
 /** Returns how many items wait that run before an arrival of @p priority. */
-uint32_t que_ahead(const struct que *que, enum cfg_priority priority);
+uint32_t que_count_ahead(const struct que *que, enum cfg_priority priority);
 
 #endif
--- a/src/rty.h
+++ b/src/rty.h
@@ -4,7 +4,7 @@
  *
  * Pure. A service's budget is a share of its requests plus a small rate, so
  * that a sick service is never sent a storm: over any time, retries are at
- * most RTY_SAVED_MAX_MILLI / 1000, plus RTY_RATE_MILLI / 1000 a second, plus
+ * most RTY_BURST_MAX_MILLI / 1000, plus RTY_RATE_MILLI / 1000 a second, plus
  * retry_percent of the requests.
  */
 #ifndef RTY_H
@@ -15,7 +15,7 @@
 #include "fs_types.h"
 
 #define RTY_COST_MILLI 1000	  /* one retry, in thousandths */
-#define RTY_SAVED_MAX_MILLI 10000 /* kept at most for later */
+#define RTY_BURST_MAX_MILLI 10000 /* kept at most for later */
 #define RTY_RATE_MILLI 1000	  /* added each second */
 
 /** A budget in thousandths of a retry. */
@@ -38,7 +38,7 @@
 void rty_budget_spend(struct rty_budget *budget);
 
 /** The numbers of a decision; they are the evidence of its record. */
-struct rty_numbers {
+struct rty_input {
 	int64_t repeatable;   /* 1: the route may be repeated */
 	int64_t written;      /* 1: a byte may have reached a target */
 	int64_t begun;	      /* 1: part of an answer was passed on */
@@ -53,10 +53,10 @@
  * The rule of retries. A request that is not repeatable is only tried again
  * while no byte of it can have reached a target.
  */
-bool rty_allowed(const struct rty_numbers *n);
+bool rty_allowed(const struct rty_input *n);
 
 /** Adds the numbers and the choice to a record of the rule. */
-void rty_add_numbers(struct aud_record *rec, const struct rty_numbers *n,
-		     bool allowed);
+void rty_add_input(struct aud_record *rec, const struct rty_input *n,
+		   bool allowed);
 
 #endif
--- a/src/slt.c
+++ b/src/slt.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SLT_NEED_PERMILLE 900 /* of a route's recent answers */
+#define SLT_SERVICE_TIME_PERMILLE 900 /* of a route's recent answers */
 
 void slt_times_add(struct slt_times *times, int64_t us)
 {
@@ -40,19 +40,19 @@
 	return sorted[(times->count - 1) * permille / 1000];
 }
 
-int64_t slt_need(const struct slt_times *route, int64_t deadline_us)
+int64_t slt_service_time(const struct slt_times *route, int64_t deadline_us)
 {
-	return MIN(slt_times_quantile(route, SLT_NEED_PERMILLE),
+	return MIN(slt_times_quantile(route, SLT_SERVICE_TIME_PERMILLE),
 		   deadline_us / 2);
 }
 
-int64_t slt_expected_wait(const struct slt_numbers *n)
+int64_t slt_expected_wait(const struct slt_inputs *n)
 {
 	int64_t wait = 0;
 
 	if (n->usable > 0 && n->free_slots <= n->ahead)
 		wait = (n->ahead - n->free_slots + 1) * n->hold_us / n->usable;
-	return wait + n->need_us;
+	return wait + n->service_time_us;
 }
 
 bool slt_queue_full(int64_t waiting, int64_t queue)
@@ -70,7 +70,7 @@
 	return usable == 0;
 }
 
-int slt_admit(const struct slt_numbers *n)
+int slt_admit(const struct slt_inputs *n)
 {
 	if (slt_no_target(n->usable))
 		return FS_E_NO_TARGET;
@@ -81,13 +81,13 @@
 	return 0;
 }
 
-int64_t slt_retry_after(const struct slt_numbers *n)
+int64_t slt_retry_after(const struct slt_inputs *n)
 {
 	return CLAMP(slt_expected_wait(n), SLT_RETRY_AFTER_MIN_US,
 		     SLT_RETRY_AFTER_MAX_US);
 }
 
-bool slt_room(const struct slt_server *server)
+bool slt_has_capacity(const struct slt_server *server)
 {
 	return !server->leaving && server->in_flight < server->allowed;
 }
@@ -110,7 +110,7 @@
 		uint32_t i = (start + n) % count;
 		const struct slt_server *s = &servers[i];
 
-		if ((avoid & (1U << i)) || !slt_room(s))
+		if ((avoid & (1U << i)) || !slt_has_capacity(s))
 			continue;
 		if (best == FS_NONE || goes_before(s, &servers[best]))
 			best = i;
--- a/src/slt.h
+++ b/src/slt.h
@@ -41,22 +41,22 @@
 int64_t slt_times_quantile(const struct slt_times *times, uint32_t permille);
 
 /** The numbers of an admission; they are the evidence of its record. */
-struct slt_numbers {
-	int64_t waiting;      /* in the queue, all priorities */
-	int64_t queue;	      /* as many may wait */
-	int64_t ahead;	      /* waiting ones that run before this one */
-	int64_t usable;	      /* slots of servers that may take it */
-	int64_t free_slots;   /* of those, not taken */
-	int64_t hold_us;      /* recent time that a request holds a slot */
-	int64_t need_us;      /* what this request needs, see slt_need() */
+struct slt_inputs {
+	int64_t waiting;    /* in the queue, all priorities */
+	int64_t queue;	    /* as many may wait */
+	int64_t ahead;	    /* waiting ones that run before this one */
+	int64_t usable;	    /* slots of servers that may take it */
+	int64_t free_slots; /* of those, not taken */
+	int64_t hold_us;    /* recent time that a request holds a slot */
+	int64_t service_time_us; /* what this request needs, see slt_service_time() */
 	int64_t remaining_us; /* until its deadline */
 };
 
 /** Returns what a request needs from its start to its answer. */
-int64_t slt_need(const struct slt_times *route, int64_t deadline_us);
+int64_t slt_service_time(const struct slt_times *route, int64_t deadline_us);
 
 /** Returns the expected time until the answer. */
-int64_t slt_expected_wait(const struct slt_numbers *n);
+int64_t slt_expected_wait(const struct slt_inputs *n);
 
 /** The rule queue_full. */
 bool slt_queue_full(int64_t waiting, int64_t queue);
@@ -72,21 +72,21 @@
  * @return 0 to let it start or wait; FS_E_NO_TARGET, FS_E_WAIT_TOO_LONG or
  *         FS_E_QUEUE_FULL
  */
-int slt_admit(const struct slt_numbers *n);
+int slt_admit(const struct slt_inputs *n);
 
 /** Returns after which time an arrival may do better, within the bounds. */
-int64_t slt_retry_after(const struct slt_numbers *n);
+int64_t slt_retry_after(const struct slt_inputs *n);
 
 /** What is known of one server when a request is to start. */
 struct slt_server {
 	uint32_t in_flight;
-	uint32_t allowed; /* by hlt_allowed(), at most its slots */
+	uint32_t allowed; /* by hlt_concurrency_limit(), at most its slots */
 	bool leaving;
 	bool last; /* kept for the floor: used when no other has room */
 };
 
 /** Returns whether a server has room. */
-bool slt_room(const struct slt_server *server);
+bool slt_has_capacity(const struct slt_server *server);
 
 /**
  * Chooses the server with the lowest share of its allowed slots in use; one
--- a/src/tgt.c
+++ b/src/tgt.c
@@ -15,7 +15,7 @@
 /* Tells the owner, once; the exchange may be freed by it. */
 static void end(struct tgt *tgt, int err)
 {
-	struct tgt_end e = {
+	struct tgt_result e = {
 		.err = err,
 		.written = tgt->written,
 		.headed = tgt->headed,
@@ -87,16 +87,16 @@
 }
 
 /* Returns whether the connection may be written to. */
-static bool is_usable(struct tgt *tgt, const struct tgt_ends *ends)
+static bool is_usable(struct tgt *tgt, const struct tgt_endpoints *ends)
 {
 	long connects = 0;
 
 	curl_easy_getinfo(tgt->easy, CURLINFO_NUM_CONNECTS, &connects);
 	tgt->reused = connects == 0;
 	if (!tgt->reused)
-		tgt_pool_note(tgt->pool, ends, tgt->fd);
+		tgt_pool_register(tgt->pool, ends, tgt->fd);
 	else
-		tgt->stale = !tgt_pool_quiet(tgt->pool, ends);
+		tgt->stale = !tgt_pool_is_idle(tgt->pool, ends);
 	return !tgt->stale;
 }
 
@@ -105,7 +105,7 @@
 		    int local_port)
 {
 	struct tgt *tgt = arg;
-	struct tgt_ends ends = {
+	struct tgt_endpoints ends = {
 		.ip = ip,
 		.local_ip = local_ip,
 		.port = port,
@@ -281,7 +281,7 @@
 	return g_array_ref(tgt->headers);
 }
 
-GArray *tgt_take_headers(struct tgt *tgt)
+GArray *tgt_steal_headers(struct tgt *tgt)
 {
 	GArray *headers = tgt->headers;
 
@@ -301,7 +301,7 @@
 	return tgt->length;
 }
 
-GBytes *tgt_take(struct tgt *tgt, size_t max)
+GBytes *tgt_read_body(struct tgt *tgt, size_t max)
 {
 	guint n = (guint)MIN(max, tgt->buffer->len);
 	GBytes *bytes = g_bytes_new(tgt->buffer->data, n);
@@ -311,7 +311,7 @@
 	return bytes;
 }
 
-size_t tgt_waiting(const struct tgt *tgt)
+size_t tgt_buffered_bytes(const struct tgt *tgt)
 {
 	return tgt->buffer->len;
 }
--- a/src/tgt.h
+++ b/src/tgt.h
@@ -38,7 +38,7 @@
 struct tgt;
 
 /** How an exchange ended. */
-struct tgt_end {
+struct tgt_result {
 	int err;	 /* 0: a whole answer; FS_E_CONNECT, FS_E_DEADLINE,
 			  * FS_E_TARGET_RESET, FS_E_TRUNCATED or
 			  * FS_E_ANSWER_INVALID */
@@ -58,7 +58,7 @@
 	 *  the exchange up; else it goes on until its deadline */
 	bool (*silent)(void *arg, struct tgt *tgt);
 	/** The end, told once; not after tgt_free(). */
-	void (*done)(void *arg, struct tgt *tgt, const struct tgt_end *end);
+	void (*done)(void *arg, struct tgt *tgt, const struct tgt_result *end);
 };
 
 /**
@@ -118,7 +118,7 @@
 GArray *tgt_peek_headers(struct tgt *tgt);
 
 /** Takes the header fields, hop-by-hop ones removed. */
-GArray *tgt_take_headers(struct tgt *tgt);
+GArray *tgt_steal_headers(struct tgt *tgt);
 
 /** Returns whether the answer says that the target is leaving. */
 bool tgt_draining(const struct tgt *tgt);
@@ -128,10 +128,10 @@
 int64_t tgt_length(const struct tgt *tgt);
 
 /** Takes up to @p max bytes of the body. */
-GBytes *tgt_take(struct tgt *tgt, size_t max);
+GBytes *tgt_read_body(struct tgt *tgt, size_t max);
 
 /** Returns how many bytes can be taken. */
-size_t tgt_waiting(const struct tgt *tgt);
+size_t tgt_buffered_bytes(const struct tgt *tgt);
 
 /** Reads on after bytes were taken; not from inside the functions of ops. */
 void tgt_resume(struct tgt *tgt);
--- a/src/tgt_answer.c
+++ b/src/tgt_answer.c
@@ -46,7 +46,7 @@
 		tgt->draining = !strcmp(value, "1");
 	else if (!g_ascii_strcasecmp(name, name_field(tgt)))
 		read_name(tgt, value);
-	if (tgt_hop_by_hop(name))
+	if (tgt_is_hop_by_hop(name))
 		return;
 	if (tgt->headers->len >= TGT_HEADERS_MAX)
 		tgt->invalid = true;
--- a/src/tgt_impl.h
+++ b/src/tgt_impl.h
@@ -59,6 +59,6 @@
 bool tgt_has_body(const struct tgt *tgt);
 
 /** Returns whether a header field is for one connection only. */
-bool tgt_hop_by_hop(const char *name);
+bool tgt_is_hop_by_hop(const char *name);
 
 #endif
--- a/src/tgt_pool.c
+++ b/src/tgt_pool.c
@@ -10,7 +10,7 @@
 	GHashTable *ends; /* socket to the key in fds */
 };
 
-static char *text_of(const struct tgt_ends *ends)
+static char *text_of(const struct tgt_endpoints *ends)
 {
 	return g_strdup_printf("%s:%d %s:%d", ends->local_ip, ends->local_port,
 			       ends->ip, ends->port);
@@ -72,8 +72,8 @@
 	curl_easy_setopt(easy, CURLOPT_CLOSESOCKETDATA, pool);
 }
 
-void tgt_pool_note(struct tgt_pool *pool, const struct tgt_ends *ends,
-		   curl_socket_t fd)
+void tgt_pool_register(struct tgt_pool *pool, const struct tgt_endpoints *ends,
+		       curl_socket_t fd)
 {
 	char *text = text_of(ends);
 
@@ -81,7 +81,8 @@
 	g_hash_table_insert(pool->ends, GINT_TO_POINTER(fd), text);
 }
 
-bool tgt_pool_quiet(const struct tgt_pool *pool, const struct tgt_ends *ends)
+bool tgt_pool_is_idle(const struct tgt_pool *pool,
+		      const struct tgt_endpoints *ends)
 {
 	g_autofree char *text = text_of(ends);
 	void *fd;
--- a/src/tgt_pool.h
+++ b/src/tgt_pool.h
@@ -16,7 +16,7 @@
 struct tgt_pool;
 
 /** The two ends of a connection, as CURLOPT_PREREQFUNCTION tells them. */
-struct tgt_ends {
+struct tgt_endpoints {
 	const char *ip;
 	const char *local_ip;
 	int port;
@@ -35,10 +35,11 @@
 void tgt_pool_attach(struct tgt_pool *pool, CURL *easy, curl_socket_t *fd);
 
 /** Remembers the socket of a new connection. */
-void tgt_pool_note(struct tgt_pool *pool, const struct tgt_ends *ends,
-		   curl_socket_t fd);
+void tgt_pool_register(struct tgt_pool *pool, const struct tgt_endpoints *ends,
+		       curl_socket_t fd);
 
 /** Returns whether a kept connection is open and has nothing to be read. */
-bool tgt_pool_quiet(const struct tgt_pool *pool, const struct tgt_ends *ends);
+bool tgt_pool_is_idle(const struct tgt_pool *pool,
+		      const struct tgt_endpoints *ends);
 
 #endif
--- a/src/tgt_request.c
+++ b/src/tgt_request.c
@@ -18,7 +18,7 @@
 	"Host",
 };
 
-bool tgt_hop_by_hop(const char *name)
+bool tgt_is_hop_by_hop(const char *name)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(own_fields); i++) {
 		if (!g_ascii_strcasecmp(name, own_fields[i]))
@@ -96,7 +96,7 @@
 		const struct msg_header *h =
 			&g_array_index(m->headers, struct msg_header, i);
 
-		if (!tgt_hop_by_hop(h->name))
+		if (!tgt_is_hop_by_hop(h->name))
 			add_field(tgt, h->name, h->value);
 	}
 	if (!msg_headers_get(m->headers, "Accept"))
--- a/tests/prop_flr.cpp
+++ b/tests/prop_flr.cpp
@@ -211,11 +211,13 @@
 		std::string server = "s" + std::to_string(op.server);
 
 		if (op.kind < 40)
-			flr_sync_ask(node.sync, server.c_str(),
-				     AUD_R_STEER_STALL, false, clock(op.node));
+			flr_sync_request(node.sync, server.c_str(),
+					 AUD_R_STEER_STALL, false,
+					 clock(op.node));
 		else if (op.kind < 62)
-			flr_sync_ask(node.sync, server.c_str(),
-				     AUD_R_STEER_STALL, true, clock(op.node));
+			flr_sync_request(node.sync, server.c_str(),
+					 AUD_R_STEER_STALL, true,
+					 clock(op.node));
 		else if (op.kind < 70)
 			node.paused_until = now + span;
 		else if (op.kind < 76)
@@ -291,11 +293,12 @@
 		if (call.life != node.life)
 			return;
 		if (call.kind == FLR_CALL_READ)
-			flr_sync_read(node.sync, &scope, err, call.revision,
-				      call.value.c_str(), clock(call.node));
+			flr_sync_read_done(node.sync, &scope, err,
+					   call.revision, call.value.c_str(),
+					   clock(call.node));
 		else
-			flr_sync_wrote(node.sync, &scope, err, call.revision,
-				       clock(call.node));
+			flr_sync_write_done(node.sync, &scope, err,
+					    call.revision, clock(call.node));
 	}
 
 	void step_calls()
@@ -470,10 +473,10 @@
 	no_hold.times.hold_us = 0;
 	ok &= mutation_found("no hold on returns", no_hold, RUNS);
 	Mutation no_lapse;
-	no_lapse.times.lapse_us = INT64_MAX / 4;
+	no_lapse.times.expiry_us = INT64_MAX / 4;
 	ok &= mutation_found("no lapse", no_lapse, RUNS);
 	Mutation long_lapse;
-	long_lapse.times.lapse_us = FS_RECORD_HOLD_US + 10 * FS_US_PER_S;
+	long_lapse.times.expiry_us = FS_RECORD_HOLD_US + 10 * FS_US_PER_S;
 	ok &= mutation_found("lapse longer than hold", long_lapse, RUNS);
 	return ok ? 0 : 1;
 }
--- a/tests/prop_rty.cpp
+++ b/tests/prop_rty.cpp
@@ -31,7 +31,7 @@
 				requests++;
 				rty_budget_earn(&budget, percent, now);
 			}
-			rty_numbers n{};
+			rty_input n{};
 			n.repeatable = 1;
 			n.written = 1;
 			n.tries = 1;
@@ -45,7 +45,7 @@
 			}
 			RC_ASSERT(budget.milli >= 0);
 			RC_ASSERT(retries * RTY_COST_MILLI <=
-				  RTY_SAVED_MAX_MILLI +
+				  RTY_BURST_MAX_MILLI +
 					  requests * percent * 10 +
 					  (now - began) * RTY_RATE_MILLI /
 						  FS_US_PER_S);
@@ -57,7 +57,7 @@
 bool check_rule()
 {
 	return rc::check("each condition of a retry is needed", [] {
-		rty_numbers n{};
+		rty_input n{};
 
 		n.repeatable = 1;
 		n.written = *rc::gen::inRange(0, 2);
--- a/tests/prop_slt.cpp
+++ b/tests/prop_slt.cpp
@@ -41,7 +41,8 @@
 		bool any = false;
 
 		for (uint32_t j = 0; j < n; j++)
-			any |= slt_room(&all[j]) && !(avoid & (1U << j));
+			any |= slt_has_capacity(&all[j]) &&
+			       !(avoid & (1U << j));
 		RC_ASSERT((i != FS_NONE) == any);
 		if (i == FS_NONE)
 			return;
@@ -49,7 +50,7 @@
 		RC_ASSERT(all[i].in_flight < all[i].allowed);
 		RC_ASSERT(!(avoid & (1U << i)));
 		for (uint32_t j = 0; j < n; j++) {
-			if (!slt_room(&all[j]) || (avoid & (1U << j)))
+			if (!slt_has_capacity(&all[j]) || (avoid & (1U << j)))
 				continue;
 			RC_ASSERT(!all[i].last || all[j].last);
 			if (all[i].last == all[j].last)
@@ -65,7 +66,7 @@
 {
 	return rc::check("admission keeps the bounds", [] {
 		slt_times times{};
-		slt_numbers n{};
+		slt_inputs n{};
 		const auto deadline = *rc::gen::inRange<int64_t>(2, 10000000);
 
 		for (int64_t t : *rc::gen::container<std::vector<int64_t>>(
@@ -77,13 +78,13 @@
 		n.usable = *rc::gen::inRange<int64_t>(0, 50);
 		n.free_slots = *rc::gen::inRange<int64_t>(0, n.usable + 1);
 		n.hold_us = slt_times_mean(&times);
-		n.need_us = slt_need(&times, deadline);
+		n.service_time_us = slt_service_time(&times, deadline);
 		n.remaining_us = *rc::gen::inRange<int64_t>(-1, deadline + 1);
 		const int err = slt_admit(&n);
 
 		if (!err) {
 			RC_ASSERT(n.usable > 0);
-			RC_ASSERT(n.remaining_us > n.need_us);
+			RC_ASSERT(n.remaining_us > n.service_time_us);
 			RC_ASSERT(n.free_slots > n.ahead ||
 				  n.waiting < n.queue);
 		}
@@ -120,8 +121,8 @@
 				model.insert(at, &items[i]);
 			} else if (!model.empty()) {
 				auto *first = que_first(&q, match_all, nullptr);
-				auto *victim =
-					que_victim(&q, CFG_PRIORITY_HIGH);
+				auto *victim = que_find_evictable(
+					&q, CFG_PRIORITY_HIGH);
 
 				RC_ASSERT(first == model.front());
 				RC_ASSERT(victim ==
@@ -133,7 +134,7 @@
 				model.erase(model.begin());
 			}
 			RC_ASSERT(q.count == model.size());
-			RC_ASSERT(que_ahead(&q, CFG_PRIORITY_LOW) ==
+			RC_ASSERT(que_count_ahead(&q, CFG_PRIORITY_LOW) ==
 				  model.size());
 		}
 	});
--- a/tests/unit_adm.c
+++ b/tests/unit_adm.c
@@ -8,9 +8,9 @@
 
 /* A request that has just come, for work of 300 ms that is worth most within
  * 1.2 s. */
-static struct adm_numbers fresh(int64_t wait_us)
+static struct adm_input fresh(int64_t wait_us)
 {
-	return (struct adm_numbers){
+	return (struct adm_input){
 		.left_us = 3000 * MS,
 		.objective_us = 1200 * MS,
 		.mean_us = 300 * MS,
@@ -22,7 +22,7 @@
 /* Load below capacity: nothing is parked. */
 static void test_short_queues_are_joined(void)
 {
-	struct adm_numbers n = fresh(0);
+	struct adm_input n = fresh(0);
 
 	g_assert_cmpint(adm_decide(&n), ==, ADM_SEND);
 	n = fresh(400 * MS);
@@ -33,7 +33,7 @@
  * make those behind it late as well. */
 static void test_queue_does_not_outgrow_the_objective(void)
 {
-	struct adm_numbers n = fresh(1000 * MS);
+	struct adm_input n = fresh(1000 * MS);
 
 	g_assert_cmpint(adm_decide(&n), ==, ADM_PARK);
 	n.age_us = 600 * MS;
@@ -44,7 +44,7 @@
 /* A short burst: a parked request goes as soon as a slot is free. */
 static void test_parked_request_takes_a_free_slot(void)
 {
-	struct adm_numbers n = fresh(0);
+	struct adm_input n = fresh(0);
 
 	n.age_us = 1100 * MS;
 	n.left_us = 1900 * MS;
@@ -54,7 +54,7 @@
 /* All queues are full: a caller is not kept until its time is over. */
 static void test_full_targets_refuse_in_time(void)
 {
-	struct adm_numbers n = fresh(0);
+	struct adm_input n = fresh(0);
 
 	n.room = false;
 	g_assert_cmpint(adm_decide(&n), ==, ADM_PARK);
@@ -66,7 +66,7 @@
  * work can be done. */
 static void test_turned_away_request_waits_longer(void)
 {
-	struct adm_numbers n = fresh(1000 * MS);
+	struct adm_input n = fresh(1000 * MS);
 
 	n.offered = true;
 	n.age_us = 1500 * MS;
@@ -79,7 +79,7 @@
 /* The longer the queue, the later callers come back. */
 static void test_retry_after_follows_the_queue(void)
 {
-	struct adm_numbers n = fresh(600 * MS);
+	struct adm_input n = fresh(600 * MS);
 
 	g_assert_cmpint(adm_retry_after(&n), ==, 200 * MS);
 	n.wait_us = 3000 * MS;
--- a/tests/unit_bal.c
+++ b/tests/unit_bal.c
@@ -168,20 +168,22 @@
 
 static void hear(struct sim *s, const struct news *n)
 {
-	struct bal_target *kept = bal_of(s->targets[n->target], n->at_us);
+	struct bal_target *kept =
+		bal_target_get(s->targets[n->target], n->at_us);
 
 	if (n->kind == NEWS_SENT) {
 		kept->others++;
 		kept->sent_us = MAX(kept->sent_us, n->about_us);
 	} else {
 		kept->others--;
-		gry_note(&kept->gry,
-			 n->kind == NEWS_GOOD ? GRY_GOOD : GRY_FAILED, 1.0,
-			 n->at_us);
+		gry_record_outcome(&kept->gry,
+				   n->kind == NEWS_GOOD ? GRY_SUCCESS :
+							  GRY_FAILED,
+				   1.0, n->at_us);
 	}
 	if (n->kind == NEWS_GOOD)
-		gry_note_time(&kept->gry, n->about_us, s->load->work_us,
-			      n->at_us);
+		gry_record_response_time(&kept->gry, n->about_us,
+					 s->load->work_us, n->at_us);
 }
 
 static void hear_until(struct sim *s, int64_t now_us)
@@ -234,7 +236,7 @@
 static void request(struct sim *s, int64_t now_us)
 {
 	const struct load *load = s->load;
-	struct bal_wish wish = {
+	struct bal_query wish = {
 		.domain =
 			s->targets[g_rand_int_range(s->rand, 0, load->domains)]
 				->entry.domain,
--- a/tests/unit_flr.c
+++ b/tests/unit_flr.c
@@ -63,7 +63,7 @@
 	struct flr_watch *watch = flr_watch_new();
 
 	g_assert_cmpint(flr_return(record, &scope, "s1"), ==, 0);
-	g_assert_cmpint(flr_watch_note(watch, record, 100 * S), ==, 0);
+	g_assert_cmpint(flr_watch_observe(watch, record, 100 * S), ==, 0);
 	g_assert_false(flr_enforced(record, &scope, "s1"));
 	g_assert_cmpint(flr_grant(record, &scope, "s3", AUD_R_STEER_STALL, "n"),
 			==, FS_E_FLOOR);
@@ -102,10 +102,11 @@
 	struct flr_record *empty = flr_record_new();
 	struct flr_watch *watch = flr_watch_new();
 
-	flr_watch_note(watch, record, 10 * S);
-	g_assert_cmpint(flr_watch_note(watch, empty, 20 * S), ==, FS_E_STALE);
-	g_assert_false(flr_watch_settled(watch, &flr_times_default, 49 * S));
-	g_assert_true(flr_watch_settled(watch, &flr_times_default, 50 * S));
+	flr_watch_observe(watch, record, 10 * S);
+	g_assert_cmpint(flr_watch_observe(watch, empty, 20 * S), ==,
+			FS_E_STALE);
+	g_assert_false(flr_watch_may_grant(watch, &flr_times_default, 49 * S));
+	g_assert_true(flr_watch_may_grant(watch, &flr_times_default, 50 * S));
 	flr_watch_free(watch);
 	flr_record_free(empty);
 	flr_record_free(record);
@@ -156,16 +157,16 @@
 
 	g_assert_cmpint(flr_sync_next(sync, &scope, 0, value, &prev), ==,
 			FLR_CALL_READ);
-	flr_sync_read(sync, &scope, FS_E_NOT_FOUND, 0, "", 0);
-	flr_sync_ask(sync, "s1", AUD_R_STEER_STALL, false, 0);
+	flr_sync_read_done(sync, &scope, FS_E_NOT_FOUND, 0, "", 0);
+	flr_sync_request(sync, "s1", AUD_R_STEER_STALL, false, 0);
 	g_assert_cmpint(flr_sync_next(sync, &scope, 1, value, &prev), ==,
 			FLR_CALL_WRITE);
 	g_assert_cmpuint(prev, ==, 0);
-	flr_sync_wrote(sync, &scope, FS_E_AMBIGUOUS, 0, 2);
+	flr_sync_write_done(sync, &scope, FS_E_AMBIGUOUS, 0, 2);
 	g_assert_cmpint(last.err, ==, 1);
 	g_assert_cmpint(flr_sync_next(sync, &scope, 2 * S, value, &prev), ==,
 			FLR_CALL_READ);
-	flr_sync_read(sync, &scope, 0, 1, value->str, 2 * S);
+	flr_sync_read_done(sync, &scope, 0, 1, value->str, 2 * S);
 	g_assert_cmpint(last.err, ==, 0);
 	g_assert_cmpstr(last.server, ==, "s1");
 	g_assert_cmpuint(last.epoch, ==, 1);
@@ -185,15 +186,15 @@
 	uint64_t prev;
 
 	flr_sync_next(sync, &scope, 0, value, &prev);
-	flr_sync_read(sync, &scope, FS_E_NOT_FOUND, 0, "", 1 * S);
+	flr_sync_read_done(sync, &scope, FS_E_NOT_FOUND, 0, "", 1 * S);
 	g_assert_nonnull(flr_sync_record(sync, FS_RECORD_LAPSE_US - 1));
 	g_assert_null(flr_sync_record(sync, FS_RECORD_LAPSE_US));
-	flr_sync_ask(sync, "s1", AUD_R_STEER_STALL, false, 6 * S);
+	flr_sync_request(sync, "s1", AUD_R_STEER_STALL, false, 6 * S);
 	for (now_us = 6 * S; now_us <= 17 * S; now_us += S) {
 		if (flr_sync_next(sync, &scope, now_us, value, &prev) ==
 		    FLR_CALL_READ)
-			flr_sync_read(sync, &scope, FS_E_UNAVAILABLE, 0, "",
-				      now_us);
+			flr_sync_read_done(sync, &scope, FS_E_UNAVAILABLE, 0,
+					   "", now_us);
 	}
 	g_assert_cmpint(last.err, ==, FS_E_UNAVAILABLE);
 	flr_sync_free(sync);
--- a/tests/unit_gwy.c
+++ b/tests/unit_gwy.c
@@ -315,15 +315,16 @@
 	yard_target(&y, "list", serve_nothing, NULL);
 	yard_target(&y, "list", serve_ok, NULL);
 	full = dir_target_find(y.dir, "s1");
-	bal_of(full, fs_now_us())->others = 20;
-	gry_note(&bal_of(full, 0)->gry, GRY_FULL, 1.0, fs_now_us());
+	bal_target_get(full, fs_now_us())->others = 20;
+	gry_record_outcome(&bal_target_get(full, 0)->gry, GRY_FULL, 1.0,
+			   fs_now_us());
 	bal_note_full(full, fs_now_us());
 	yard_call(&y, &c, LIST);
 	yard_until(&y, yard_arrivals(&y) == 1);
 	g_hash_table_iter_init(&iter, y.gwy->requests);
 	g_assert_true(g_hash_table_iter_next(&iter, &req, NULL));
 	g_assert_cmpuint(((struct gwy_request *)req)->running, ==, 1);
-	g_assert_false(gwy_send_again(req, fs_now_us()));
+	g_assert_false(gwy_send_retry(req, fs_now_us()));
 	g_assert_false(((struct gwy_request *)req)->parked);
 	yard_run(&y, 200 * FS_US_PER_MS);
 	g_assert_cmpuint(((struct gwy_request *)req)->running, ==, 1);
--- a/tests/unit_hlt.c
+++ b/tests/unit_hlt.c
@@ -55,9 +55,9 @@
 	struct hlt_end end = {.result = result,
 			      .took_us = 20 * MS,
 			      .reused_connection = reused};
-	uint32_t token = hlt_started(b->shard, i, 5 * S, b->now_us);
+	uint32_t token = hlt_request_started(b->shard, i, 5 * S, b->now_us);
 
-	hlt_finished(b->shard, i, token, &end, b->now_us + 20 * MS);
+	hlt_request_finished(b->shard, i, token, &end, b->now_us + 20 * MS);
 }
 
 /* Goes on for @p us; servers below @p bad end as @p result, others well. */
@@ -67,7 +67,7 @@
 	for (int64_t end_us = b->now_us + us; b->now_us < end_us;
 	     b->now_us += 100 * MS) {
 		for (uint32_t i = 0; i < COUNT; i++)
-			exchange(b, i, i < bad ? result : HLT_GOOD, reused);
+			exchange(b, i, i < bad ? result : HLT_SUCCESS, reused);
 		hlt_tick(b->shard, NULL, b->now_us, b->actions, b->rules);
 	}
 }
@@ -77,14 +77,15 @@
 	struct bench b;
 
 	bench_begin(&b);
-	go_on(&b, 5 * S, 0, HLT_GOOD, false);
-	g_assert_cmpint(hlt_level(b.shard, 0), ==, HLT_FIT);
+	go_on(&b, 5 * S, 0, HLT_SUCCESS, false);
+	g_assert_cmpint(hlt_level(b.shard, 0), ==, HLT_HEALTHY);
 	go_on(&b, 2 * S, 1, HLT_SERVER_ERROR, false);
-	g_assert_cmpint(hlt_level(b.shard, 0), >=, HLT_SUSPECT);
-	g_assert_cmpuint(hlt_allowed(b.shard, 0, false, b.now_us), ==, 0);
+	g_assert_cmpint(hlt_level(b.shard, 0), >=, HLT_SUSPECTED);
+	g_assert_cmpuint(hlt_concurrency_limit(b.shard, 0, false, b.now_us), ==,
+			 0);
 	go_on(&b, 6 * S, 1, HLT_SERVER_ERROR, false);
 	g_assert_cmpint(hlt_level(b.shard, 0), ==, HLT_TRIAL);
-	g_assert_cmpint(hlt_level(b.shard, 1), ==, HLT_FIT);
+	g_assert_cmpint(hlt_level(b.shard, 1), ==, HLT_HEALTHY);
 	bench_end(&b);
 }
 
@@ -94,7 +95,7 @@
 
 	bench_begin(&b);
 	go_on(&b, 20 * S, 1, HLT_REFUSED, false);
-	g_assert_cmpint(hlt_level(b.shard, 0), ==, HLT_FIT);
+	g_assert_cmpint(hlt_level(b.shard, 0), ==, HLT_HEALTHY);
 	bench_end(&b);
 }
 
@@ -105,11 +106,11 @@
 
 	bench_begin(&b);
 	go_on(&b, 1 * S, 1, HLT_RESET, true);
-	g_assert_cmpint(hlt_level(b.shard, 0), ==, HLT_FIT);
+	g_assert_cmpint(hlt_level(b.shard, 0), ==, HLT_HEALTHY);
 	bench_end(&b);
 	bench_begin(&b);
 	go_on(&b, 1 * S, 1, HLT_RESET, false);
-	g_assert_cmpint(hlt_level(b.shard, 0), >=, HLT_SUSPECT);
+	g_assert_cmpint(hlt_level(b.shard, 0), >=, HLT_SUSPECTED);
 	bench_end(&b);
 }
 
@@ -120,11 +121,11 @@
 	bench_begin(&b);
 	for (int n = 0; n < 100; n++) {
 		for (uint32_t i = 0; i < COUNT; i++)
-			hlt_probed(b.shard, i, false, b.now_us);
-		go_on(&b, 100 * MS, 0, HLT_GOOD, false);
+			hlt_probe_finished(b.shard, i, false, b.now_us);
+		go_on(&b, 100 * MS, 0, HLT_SUCCESS, false);
 	}
 	for (uint32_t i = 0; i < COUNT; i++)
-		g_assert_cmpint(hlt_level(b.shard, i), ==, HLT_FIT);
+		g_assert_cmpint(hlt_level(b.shard, i), ==, HLT_HEALTHY);
 	bench_end(&b);
 }
 
@@ -137,11 +138,11 @@
 	bench_begin(&b);
 	go_on(&b, 10 * S, COUNT, HLT_CONNECT_FAILED, false);
 	for (uint32_t i = 0; i < COUNT; i++) {
-		fit += hlt_level(b.shard, i) == HLT_FIT;
+		fit += hlt_level(b.shard, i) == HLT_HEALTHY;
 		g_assert_cmpint(b.actions[i], ==, HLT_ACT_NONE);
 	}
 	g_assert_cmpuint(fit, ==, 3);
-	g_assert_true(hlt_shard_sick(b.shard));
+	g_assert_true(hlt_shard_unhealthy(b.shard));
 	bench_end(&b);
 }
 
@@ -149,7 +150,7 @@
 {
 	for (int64_t end_us = b->now_us + us; b->now_us < end_us;) {
 		go_on(b, 100 * MS, 1, HLT_SERVER_ERROR, false);
-		if (b->actions[0] == HLT_ACT_ASK_EJECT)
+		if (b->actions[0] == HLT_ACT_REQUEST_EJECTION)
 			return true;
 	}
 	return false;
@@ -160,13 +161,13 @@
 	struct bench b;
 
 	bench_begin(&b);
-	hlt_set_dependency_sick(b.shard, true);
+	hlt_set_dependency_unhealthy(b.shard, true);
 	g_assert_false(asked_within(&b, 20 * S));
-	hlt_set_dependency_sick(b.shard, false);
-	hlt_set_path(b.shard, 0, true, b.now_us);
+	hlt_set_dependency_unhealthy(b.shard, false);
+	hlt_set_reached_by_others(b.shard, 0, true, b.now_us);
 	g_assert_false(asked_within(&b, 20 * S));
 	g_assert_cmpint(hlt_level(b.shard, 0), ==, HLT_TRIAL);
-	hlt_set_path(b.shard, 0, false, b.now_us);
+	hlt_set_reached_by_others(b.shard, 0, false, b.now_us);
 	g_assert_true(asked_within(&b, 10 * S));
 	bench_end(&b);
 }
@@ -196,16 +197,19 @@
 
 	bench_begin(&b);
 	go_on(&b, 3 * S, 1, HLT_SERVER_ERROR, false);
-	g_assert_cmpint(hlt_level(b.shard, 0), >=, HLT_SUSPECT);
-	for (; hlt_level(b.shard, 0) != HLT_FIT && sick_for < 60 * S;
+	g_assert_cmpint(hlt_level(b.shard, 0), >=, HLT_SUSPECTED);
+	for (; hlt_level(b.shard, 0) != HLT_HEALTHY && sick_for < 60 * S;
 	     sick_for += 100 * MS)
-		go_on(&b, 100 * MS, 0, HLT_GOOD, false);
+		go_on(&b, 100 * MS, 0, HLT_SUCCESS, false);
 	g_assert_cmpint(sick_for, >=, 3 * S);
-	g_assert_cmpuint(hlt_allowed(b.shard, 0, false, b.now_us), ==, 1);
-	g_assert_cmpuint(hlt_allowed(b.shard, 0, false, b.now_us + 3 * S), >=,
-			 2);
-	g_assert_cmpuint(hlt_allowed(b.shard, 0, false, b.now_us + 6 * S), ==,
-			 6);
+	g_assert_cmpuint(hlt_concurrency_limit(b.shard, 0, false, b.now_us), ==,
+			 1);
+	g_assert_cmpuint(
+		hlt_concurrency_limit(b.shard, 0, false, b.now_us + 3 * S), >=,
+		2);
+	g_assert_cmpuint(
+		hlt_concurrency_limit(b.shard, 0, false, b.now_us + 6 * S), ==,
+		6);
 	bench_end(&b);
 }
 
@@ -220,9 +224,10 @@
 		int64_t sick_for = 0;
 
 		go_on(&b, 3 * S, 1, HLT_SERVER_ERROR, false);
-		for (; hlt_level(b.shard, 0) != HLT_FIT && sick_for < 120 * S;
+		for (;
+		     hlt_level(b.shard, 0) != HLT_HEALTHY && sick_for < 120 * S;
 		     sick_for += 100 * MS)
-			go_on(&b, 100 * MS, 0, HLT_GOOD, false);
+			go_on(&b, 100 * MS, 0, HLT_SUCCESS, false);
 		g_assert_cmpint(sick_for, >, before);
 		before = sick_for;
 	}
--- a/tests/unit_lod.c
+++ b/tests/unit_lod.c
@@ -11,7 +11,7 @@
 
 static void fill(struct lod_packet *packet)
 {
-	struct lod_count count = {7, 3, 120 * FS_US_PER_MS};
+	struct lod_target_count count = {7, 3, 120 * FS_US_PER_MS};
 	struct lod_evidence evidence = {
 		.origin = UINT64_MAX,
 		.target = 7,
@@ -19,7 +19,7 @@
 		.count = 2,
 		.took_us = 1500,
 	};
-	struct lod_sends sends = {9, 10, 2, 1};
+	struct lod_service_counts sends = {9, 10, 2, 1};
 
 	lod_packet_init(packet, LOD_DIGEST);
 	packet->sender = 42;
@@ -50,16 +50,16 @@
 	g_assert_cmpuint(out.serial, ==, UINT32_MAX);
 	g_assert_cmpuint(out.feed.digest, ==, UINT64_MAX - 1);
 	g_assert_true(out.feed.fresh);
-	g_assert_cmpmem(out.counts->data, sizeof(struct lod_count),
-			in.counts->data, sizeof(struct lod_count));
+	g_assert_cmpmem(out.counts->data, sizeof(struct lod_target_count),
+			in.counts->data, sizeof(struct lod_target_count));
 	e = &g_array_index(out.evidence, struct lod_evidence, 0);
 	g_assert_cmpuint(e->origin, ==, UINT64_MAX);
 	g_assert_cmpuint(e->target, ==, 7);
 	g_assert_cmpint(e->outcome, ==, GRY_OVERDUE);
 	g_assert_cmpuint(e->count, ==, 2);
 	g_assert_cmpint(e->took_us, ==, 1500);
-	g_assert_cmpmem(out.sends->data, sizeof(struct lod_sends),
-			in.sends->data, sizeof(struct lod_sends));
+	g_assert_cmpmem(out.sends->data, sizeof(struct lod_service_counts),
+			in.sends->data, sizeof(struct lod_service_counts));
 	lod_packet_clear(&in);
 	lod_packet_clear(&out);
 }
@@ -84,7 +84,8 @@
 
 	fill(&packet);
 	for (int i = 1; i < LOD_COUNTS_MAX; i++) {
-		struct lod_count c = {UINT32_MAX, 1000, LOD_SENT_AGO_MAX_US};
+		struct lod_target_count c = {UINT32_MAX, 1000,
+					     LOD_SENT_AGO_MAX_US};
 
 		g_array_append_val(packet.counts, c);
 	}
@@ -96,8 +97,8 @@
 		e.took_us = 10 * FS_US_PER_S;
 		g_array_append_val(packet.evidence, e);
 	}
-	for (int i = 1; i < LOD_SENDS_MAX; i++) {
-		struct lod_sends s = {UINT32_MAX, 1000, 1000, 1000};
+	for (int i = 1; i < LOD_SERVICE_COUNTS_MAX; i++) {
+		struct lod_service_counts s = {UINT32_MAX, 1000, 1000, 1000};
 
 		g_array_append_val(packet.sends, s);
 	}
@@ -127,7 +128,7 @@
 		.target = target,
 		.outcome = what,
 		.count = 1,
-		.took_us = what == GRY_GOOD ? 1000 : 0,
+		.took_us = what == GRY_SUCCESS ? 1000 : 0,
 	};
 }
 
@@ -142,15 +143,15 @@
 
 	lod_queue_init(&queue);
 	for (uint32_t i = 0; i < 100; i++) {
-		e = outcome(i, GRY_GOOD);
+		e = outcome(i, GRY_SUCCESS);
 		lod_queue_add(&queue, &e, false);
 	}
-	e = outcome(200, GRY_GOOD);
+	e = outcome(200, GRY_SUCCESS);
 	lod_queue_add(&queue, &e, true);
 	e = outcome(300, GRY_FAILED);
 	lod_queue_add(&queue, &e, true);
-	g_assert_cmpuint(lod_queue_waiting(&queue), ==, 2);
-	lod_queue_take(&queue, out, 3);
+	g_assert_cmpuint(lod_queue_pending(&queue), ==, 2);
+	lod_queue_dequeue(&queue, out, 3);
 	g_assert_cmpuint(out->len, ==, 3);
 	g_assert_cmpuint(g_array_index(out, struct lod_evidence, 0).target, ==,
 			 300);
@@ -158,7 +159,7 @@
 			 200);
 	/* The rest only said that nothing has changed. */
 	g_array_set_size(out, 0);
-	lod_queue_take(&queue, out, 100);
+	lod_queue_dequeue(&queue, out, 100);
 	g_assert_cmpuint(out->len, ==, 0);
 	lod_queue_clear(&queue);
 }
@@ -172,14 +173,14 @@
 
 	lod_queue_init(&queue);
 	for (int i = 0; i < 4; i++) {
-		struct lod_evidence good = outcome(7, GRY_GOOD);
+		struct lod_evidence good = outcome(7, GRY_SUCCESS);
 		struct lod_evidence bad = outcome(7, GRY_BROKEN);
 
 		good.origin = bad.origin = 1 + (node_id)i / 2;
 		lod_queue_add(&queue, &good, false);
 		lod_queue_add(&queue, &bad, true);
 	}
-	lod_queue_take(&queue, out, 100);
+	lod_queue_dequeue(&queue, out, 100);
 	g_assert_cmpuint(out->len, ==, 3);
 	g_assert_cmpuint(g_array_index(out, struct lod_evidence, 0).count, ==,
 			 2);
@@ -201,7 +202,7 @@
 
 		lod_queue_add(&queue, &e, true);
 	}
-	g_assert_cmpuint(lod_queue_waiting(&queue), ==, LOD_QUEUE_FAILURES_MAX);
+	g_assert_cmpuint(lod_queue_pending(&queue), ==, LOD_QUEUE_FAILURES_MAX);
 	g_assert_cmpuint(queue.dropped, ==, LOD_QUEUE_FAILURES_MAX);
 	lod_queue_clear(&queue);
 }
@@ -219,7 +220,7 @@
 	lod_counts_put(&counts, 3, 3, 0);
 	lod_counts_put(&counts, 3, 0, 1);
 	lod_counts_put(&counts, 2, 4, 100);
-	lod_counts_lapse(&counts, 50, lapsed);
+	lod_counts_expire(&counts, 50, lapsed);
 	g_assert_cmpuint(lapsed->len, ==, 1);
 	g_assert_cmpuint(g_array_index(lapsed, uint32_t, 0), ==, 1);
 	g_assert_cmpuint(lod_counts_get(&counts, 1), ==, 0);
@@ -239,19 +240,21 @@
 	int64_t told_us[TARGETS] = {0};
 
 	for (int64_t now_us = 1; now_us <= DIGESTS; now_us++) {
-		g_autoptr(GArray) waiting =
-			g_array_new(FALSE, FALSE, sizeof(struct lod_waiting));
+		g_autoptr(GArray) waiting = g_array_new(
+			FALSE, FALSE, sizeof(struct lod_pending_count));
 
 		for (uint32_t i = 0; i < TARGETS; i++) {
-			struct lod_waiting w = {i, 1, told_us[i]};
+			struct lod_pending_count w = {i, 1, told_us[i]};
 
 			g_array_append_val(waiting, w);
 		}
-		g_assert_cmpuint(lod_counts_first(waiting, LOD_COUNTS_MAX), ==,
-				 TARGETS - LOD_COUNTS_MAX);
+		g_assert_cmpuint(
+			lod_counts_select_oldest(waiting, LOD_COUNTS_MAX), ==,
+			TARGETS - LOD_COUNTS_MAX);
 		g_assert_cmpuint(waiting->len, ==, LOD_COUNTS_MAX);
 		for (guint i = 0; i < waiting->len; i++)
-			told_us[g_array_index(waiting, struct lod_waiting, i)
+			told_us[g_array_index(waiting, struct lod_pending_count,
+					      i)
 					.target] = now_us;
 	}
 	for (int i = 0; i < TARGETS; i++)
--- a/tests/unit_policy.c
+++ b/tests/unit_policy.c
@@ -176,7 +176,7 @@
 	bool well_phase = sim->now_us / (10 * FS_US_PER_S) % 2;
 	bool stall = false;
 
-	f->result = HLT_GOOD;
+	f->result = HLT_SUCCESS;
 	if (is_faulty(sim, f->server)) {
 		stall = sim->fault == STALL_ALL || sim->fault == ALL_STALL ||
 			(sim->fault == STALL_HALF && dice < 0.5) ||
@@ -211,7 +211,7 @@
 		return !sim->out[server] &&
 		       sim->in_flight[server] < sim->d->slots;
 	return sim->in_flight[server] <
-	       hlt_allowed(shard, i, repeatable, sim->now_us);
+	       hlt_concurrency_limit(shard, i, repeatable, sim->now_us);
 }
 
 /* The next server in turn that may take the request, or SERVERS_MAX. */
@@ -262,9 +262,9 @@
 	if (!sim->baseline) {
 		struct hlt_shard *shard = shard_of(sim, server, &i);
 
-		f->token = hlt_started(shard, i,
-				       large ? LONG_DEADLINE_US : DEADLINE_US,
-				       sim->now_us);
+		f->token = hlt_request_started(
+			shard, i, large ? LONG_DEADLINE_US : DEADLINE_US,
+			sim->now_us);
 	}
 }
 
@@ -305,15 +305,16 @@
 			continue;
 		f->used = false;
 		sim->in_flight[f->server]--;
-		sim->good += f->result == HLT_GOOD && f->started_us >= FAULT_US;
+		sim->good += f->result == HLT_SUCCESS &&
+			     f->started_us >= FAULT_US;
 		if (sim->baseline) {
 			baseline_note(sim, sim->in_row, f->server,
-				      f->result != HLT_GOOD);
+				      f->result != HLT_SUCCESS);
 			continue;
 		}
 		end.took_us = sim->now_us - f->started_us;
 		shard = shard_of(sim, f->server, &i);
-		hlt_finished(shard, i, f->token, &end, sim->now_us);
+		hlt_request_finished(shard, i, f->token, &end, sim->now_us);
 	}
 }
 
@@ -326,7 +327,7 @@
 		if (!sim->baseline) {
 			struct hlt_shard *shard = shard_of(sim, s, &i);
 
-			hlt_probed(shard, i, well, sim->now_us);
+			hlt_probe_finished(shard, i, well, sim->now_us);
 			continue;
 		}
 		baseline_note(sim, sim->failed_row, s, !well);
@@ -344,10 +345,10 @@
 	struct flr_scope scope = {&sim->cfg, 0, "r"};
 	const char *name = sim->names[server];
 
-	if (action == HLT_ACT_ASK_EJECT &&
+	if (action == HLT_ACT_REQUEST_EJECTION &&
 	    !flr_grant(sim->record, &scope, name, rule, "n"))
 		note_ejected(sim, server);
-	else if (action == HLT_ACT_ASK_RETURN)
+	else if (action == HLT_ACT_REQUEST_REINSTATEMENT)
 		flr_return(sim->record, &scope, name);
 }
 
@@ -362,7 +363,7 @@
 	for (uint32_t i = 0; i < sim->per_shard; i++)
 		act(sim, k * sim->per_shard + i, actions[i], rules[i]);
 	if (k == 0 && sim->now_us >= FAULT_US && sim->result.detection_s < 0 &&
-	    hlt_level(shard, 0) >= HLT_SUSPECT)
+	    hlt_level(shard, 0) >= HLT_SUSPECTED)
 		sim->result.detection_s =
 			(double)(sim->now_us - FAULT_US) / FS_US_PER_S;
 }
--- a/tests/unit_policy_gateway.c
+++ b/tests/unit_policy_gateway.c
@@ -20,7 +20,7 @@
 /** A service and how often each of its targets was chosen. */
 struct scene {
 	struct dir *dir;
-	struct bal_wish wish;
+	struct bal_query wish;
 	int chosen[16];
 	int total;
 };
@@ -29,7 +29,7 @@
 {
 	memset(s, 0, sizeof(*s));
 	s->dir = dir_new(g_free);
-	s->wish = (struct bal_wish){
+	s->wish = (struct bal_query){
 		.domain = "here",
 		.mean_us = MEAN_US,
 		.failure_us = 4 * SECOND,
@@ -49,15 +49,17 @@
 	g_strlcpy(e.address, "127.0.0.1:1", sizeof(e.address));
 	g_strlcpy(e.domain, domain, sizeof(e.domain));
 	dir_put(s->dir, &e, 0);
-	bal_of(dir_target_find(s->dir, e.id), 0)->sent_us = s->wish.now_us;
-	bal_of(dir_target_find(s->dir, e.id), 0)->gry.known = true;
+	bal_target_get(dir_target_find(s->dir, e.id), 0)->sent_us =
+		s->wish.now_us;
+	bal_target_get(dir_target_find(s->dir, e.id), 0)->gry.known = true;
 	return dir_target_find(s->dir, e.id);
 }
 
 static void note(const struct scene *s, struct dir_target *target,
 		 enum gry_outcome outcome)
 {
-	gry_note(&bal_of(target, 0)->gry, outcome, 1.0, s->wish.now_us);
+	gry_record_outcome(&bal_target_get(target, 0)->gry, outcome, 1.0,
+			   s->wish.now_us);
 }
 
 static void run(struct scene *s)
@@ -100,7 +102,8 @@
 	for (int i = 0; i < 4; i++)
 		add(&s, i, "here");
 	for (int i = 1; i < 4; i++)
-		bal_of(dir_target_find(s.dir, (const char[]){'0' + i, 0}), 0)
+		bal_target_get(
+			dir_target_find(s.dir, (const char[]){'0' + i, 0}), 0)
 			->own = 2;
 	note(&s, dir_target_find(s.dir, "0"), GRY_FAILED);
 	run(&s);
@@ -116,19 +119,20 @@
 
 	scene_begin(&s);
 	for (int i = 0; i < 4; i++)
-		note(&s, add(&s, i, "here"), GRY_GOOD);
+		note(&s, add(&s, i, "here"), GRY_SUCCESS);
 	for (int i = 0; i < 3; i++)
 		note(&s, dir_target_find(s.dir, "0"), GRY_FAILED);
 	for (int i = 1; i < 4; i++)
 		for (int n = 0; n < 5; n++)
 			note(&s,
 			     dir_target_find(s.dir, (const char[]){'0' + i, 0}),
-			     GRY_GOOD);
+			     GRY_SUCCESS);
 	run(&s);
 	g_assert_cmpint(s.chosen[0], ==, 0);
 	s.wish.now_us += 15 * SECOND;
 	for (int i = 1; i < 4; i++)
-		bal_of(dir_target_find(s.dir, (const char[]){'0' + i, 0}), 0)
+		bal_target_get(
+			dir_target_find(s.dir, (const char[]){'0' + i, 0}), 0)
 			->sent_us = s.wish.now_us;
 	run(&s);
 	g_assert_cmpint(s.chosen[0], >, ROUNDS / 20);
@@ -159,7 +163,7 @@
 	s->wish.now_us -= ago_us;
 	for (int n = 0; n < times; n++)
 		note(s, target, GRY_FAILED);
-	bal_of(target, 0)->sent_us = s->wish.now_us;
+	bal_target_get(target, 0)->sent_us = s->wish.now_us;
 	s->wish.now_us += ago_us;
 }
 
@@ -179,7 +183,7 @@
 	g_assert_cmpint(s.chosen[0], ==, 0);
 	g_assert_cmpint(s.chosen[1], >, ROUNDS / 20);
 	g_assert_cmpint(s.chosen[1], <, ROUNDS / 4);
-	bal_of(dir_target_find(s.dir, "1"), 0)->sent_us = s.wish.now_us;
+	bal_target_get(dir_target_find(s.dir, "1"), 0)->sent_us = s.wish.now_us;
 	run(&s);
 	g_assert_cmpint(s.chosen[1], ==, 0);
 	dir_free(s.dir);
@@ -194,11 +198,11 @@
 	scene_begin(&s);
 	for (int i = 0; i < 4; i++)
 		add(&s, i, "here");
-	bal_of(dir_target_find(s.dir, "0"), 0)->sent_us -= 2 * SECOND;
-	bal_of(dir_target_find(s.dir, "0"), 0)->others = 3;
+	bal_target_get(dir_target_find(s.dir, "0"), 0)->sent_us -= 2 * SECOND;
+	bal_target_get(dir_target_find(s.dir, "0"), 0)->others = 3;
 	run(&s);
 	g_assert_cmpint(s.chosen[0], >, ROUNDS / 10);
-	bal_of(dir_target_find(s.dir, "0"), 0)->others = 4;
+	bal_target_get(dir_target_find(s.dir, "0"), 0)->others = 4;
 	run(&s);
 	g_assert_cmpint(s.chosen[0], ==, 0);
 	dir_free(s.dir);
@@ -214,8 +218,8 @@
 	for (int i = 0; i < 12; i++)
 		add(&s, i, "here");
 	s.wish.rate = 100;
-	bal_of(dir_target_find(s.dir, "0"), 0)->gry.known = false;
-	bal_of(dir_target_find(s.dir, "0"), 0)->sent_us = INT64_MIN / 2;
+	bal_target_get(dir_target_find(s.dir, "0"), 0)->gry.known = false;
+	bal_target_get(dir_target_find(s.dir, "0"), 0)->sent_us = INT64_MIN / 2;
 	dir_target_find(s.dir, "0")->warm_us = s.wish.now_us + 3 * SECOND;
 	run(&s);
 	/* 400 requests are four seconds of all nodes' work, news takes 0.3 s. */
@@ -232,8 +236,8 @@
 			dir_target_find(s->dir, (const char[]){'0' + i, 0});
 
 		for (int n = 0; n < 5; n++)
-			note(s, target, GRY_GOOD);
-		bal_of(target, 0)->sent_us = s->wish.now_us;
+			note(s, target, GRY_SUCCESS);
+		bal_target_get(target, 0)->sent_us = s->wish.now_us;
 	}
 }
 
@@ -253,7 +257,7 @@
 
 		s.wish.repeatable = spell % 2;
 		fail(&s, "0", 2, 0);
-		bal_of(dir_target_find(s.dir, "0"), 0)->sent_us--;
+		bal_target_get(dir_target_find(s.dir, "0"), 0)->sent_us--;
 		for (int i = 0; i < 8; i++) {
 			s.wish.now_us += wait_us / 8;
 			work_elsewhere(&s);
@@ -279,13 +283,14 @@
 	scene_begin(&s);
 	s.wish.rate = 60;
 	for (int i = 0; i < 5; i++)
-		bal_of(add(&s, i, "here"), 0)->others = i ? 8 : 0;
+		bal_target_get(add(&s, i, "here"), 0)->others = i ? 8 : 0;
 	run(&s);
 	g_assert_cmpint(s.total, ==, ROUNDS);
 	g_assert_cmpint(s.chosen[0], <, ROUNDS * 6 / 10);
 	g_assert_cmpint(s.chosen[0], >, ROUNDS / 4);
 	for (int i = 0; i < 5; i++)
-		bal_of(dir_target_find(s.dir, (const char[]){'0' + i, 0}), 0)
+		bal_target_get(
+			dir_target_find(s.dir, (const char[]){'0' + i, 0}), 0)
 			->others = i ? 3 : 0;
 	s.wish.rate = 10;
 	run(&s);
@@ -303,7 +308,7 @@
 	add(&s, 1, "there");
 	run(&s);
 	g_assert_cmpint(s.chosen[1], ==, 0);
-	bal_of(dir_target_find(s.dir, "0"), 0)->others = 8;
+	bal_target_get(dir_target_find(s.dir, "0"), 0)->others = 8;
 	run(&s);
 	g_assert_cmpint(s.chosen[0], ==, 0);
 	dir_free(s.dir);
@@ -318,7 +323,7 @@
 	s.wish.cross_us = 120 * MS + 90000 * 20;
 	add(&s, 0, "here");
 	add(&s, 1, "there");
-	bal_of(dir_target_find(s.dir, "0"), 0)->others = 8;
+	bal_target_get(dir_target_find(s.dir, "0"), 0)->others = 8;
 	run(&s);
 	g_assert_cmpint(s.chosen[1], ==, 0);
 	dir_free(s.dir);
@@ -331,8 +336,8 @@
 
 	scene_begin(&s);
 	add(&s, 0, "here");
-	bal_of(add(&s, 1, "here"), 0)->gry.known = false;
-	bal_of(dir_target_find(s.dir, "1"), 0)->sent_us = INT64_MIN / 2;
+	bal_target_get(add(&s, 1, "here"), 0)->gry.known = false;
+	bal_target_get(dir_target_find(s.dir, "1"), 0)->sent_us = INT64_MIN / 2;
 	dir_target_find(s.dir, "1")->warm_us = s.wish.now_us + 3 * SECOND;
 	run(&s);
 	g_assert_cmpint(s.chosen[1], >, ROUNDS / 4);
@@ -347,7 +352,7 @@
 	struct bal_choice choice;
 
 	scene_begin(&s);
-	kept = bal_of(add(&s, 0, "here"), 0);
+	kept = bal_target_get(add(&s, 0, "here"), 0);
 	kept->others = 20;
 	note(&s, dir_target_find(s.dir, "0"), GRY_FULL);
 	bal_note_full(dir_target_find(s.dir, "0"), s.wish.now_us);
@@ -378,12 +383,13 @@
 
 	gry_init(&failed, 0);
 	gry_init(&overdue, 0);
-	gry_note(&failed, GRY_FAILED, 1.0, 0);
-	gry_note(&overdue, GRY_OVERDUE, 1.0, 0);
-	g_assert_true(gry_is_suspect(&failed, 0));
-	g_assert_cmpfloat(gry_failure(&overdue, 0), >, 0.25);
-	g_assert_cmpfloat(gry_failure(&overdue, 0), <, gry_failure(&failed, 0));
-	g_assert_false(gry_is_suspect(&failed, 10 * SECOND));
+	gry_record_outcome(&failed, GRY_FAILED, 1.0, 0);
+	gry_record_outcome(&overdue, GRY_OVERDUE, 1.0, 0);
+	g_assert_true(gry_is_suspected(&failed, 0));
+	g_assert_cmpfloat(gry_failure_probability(&overdue, 0), >, 0.25);
+	g_assert_cmpfloat(gry_failure_probability(&overdue, 0), <,
+			  gry_failure_probability(&failed, 0));
+	g_assert_false(gry_is_suspected(&failed, 10 * SECOND));
 }
 
 /* A slow spell fades without answers; chance differences do not count. */
@@ -393,7 +399,7 @@
 
 	gry_init(&gry, 0);
 	for (int i = 0; i < 30; i++)
-		gry_note_time(&gry, 4 * MEAN_US, MEAN_US, 0);
+		gry_record_response_time(&gry, 4 * MEAN_US, MEAN_US, 0);
 	g_assert_cmpfloat(gry_slowness(&gry, 0), >, 3.0);
 	g_assert_cmpfloat(gry_slowness(&gry, 20 * SECOND), ==, 1.0);
 }
@@ -415,11 +421,11 @@
 		int64_t now_us = 50 * SECOND + i * 5 * MS;
 		struct bud *bud = &buds[(i * i) % NODES];
 
-		bud_request(bud, &rule, now_us);
+		bud_count_request(bud, &rule, now_us);
 		requests++;
-		if (bud_left(bud, &rule, NODES, now_us) < 1.0)
+		if (bud_retries_left(bud, &rule, NODES, now_us) < 1.0)
 			continue;
-		bud_repeat(bud, &rule, now_us);
+		bud_count_retry(bud, &rule, now_us);
 		at[repeats++] = now_us;
 	}
 	g_assert_cmpint(at[repeats - 1] - at[0], <=, rule.window_us);
@@ -432,21 +438,23 @@
 {
 	struct bud bud = {0};
 
-	bud_repeat(&bud, &rule, 10 * SECOND);
-	bud_repeat(&bud, &rule, 10 * SECOND + 400 * MS);
-	g_assert_cmpuint(bud_recent(&bud, &rule, 10 * SECOND + 600 * MS), ==,
-			 2);
-	g_assert_cmpuint(bud_recent(&bud, &rule, 12 * SECOND), ==, 0);
+	bud_count_retry(&bud, &rule, 10 * SECOND);
+	bud_count_retry(&bud, &rule, 10 * SECOND + 400 * MS);
+	g_assert_cmpuint(
+		bud_recent_retries(&bud, &rule, 10 * SECOND + 600 * MS), ==, 2);
+	g_assert_cmpuint(bud_recent_retries(&bud, &rule, 12 * SECOND), ==, 0);
 }
 
 static void test_budget_returns_after_the_window(void)
 {
 	struct bud bud = {0};
 
-	while (bud_left(&bud, &rule, 44, SECOND) >= 1.0)
-		bud_repeat(&bud, &rule, SECOND);
-	g_assert_cmpfloat(bud_left(&bud, &rule, 44, 2 * SECOND), <, 1.0);
-	g_assert_cmpfloat(bud_left(&bud, &rule, 44, 12 * SECOND), >=, 1.0);
+	while (bud_retries_left(&bud, &rule, 44, SECOND) >= 1.0)
+		bud_count_retry(&bud, &rule, SECOND);
+	g_assert_cmpfloat(bud_retries_left(&bud, &rule, 44, 2 * SECOND), <,
+			  1.0);
+	g_assert_cmpfloat(bud_retries_left(&bud, &rule, 44, 12 * SECOND), >=,
+			  1.0);
 }
 
 int main(int argc, char **argv)
--- a/tests/unit_slt.c
+++ b/tests/unit_slt.c
@@ -64,7 +64,7 @@
 			return;
 		que_remove(&s->que, item);
 		if (!s->naive &&
-		    slt_wait_too_long(slt_need(&s->route, DEADLINE_US),
+		    slt_wait_too_long(slt_service_time(&s->route, DEADLINE_US),
 				      left_us)) {
 			s->refused++;
 			continue;
@@ -91,14 +91,15 @@
 
 static void arrive(struct sim *s, struct job *job, int64_t now_us)
 {
-	struct slt_numbers n = {
+	struct slt_inputs n = {
 		.waiting = s->que.count,
 		.queue = s->naive ? NAIVE_QUEUE : QUEUE,
-		.ahead = que_ahead(&s->que, CFG_PRIORITY_NORMAL),
+		.ahead = que_count_ahead(&s->que, CFG_PRIORITY_NORMAL),
 		.usable = SERVERS * SLOTS,
 		.free_slots = SERVERS * SLOTS - (int64_t)s->running->len,
 		.hold_us = s->naive ? 0 : slt_times_mean(&s->hold),
-		.need_us = s->naive ? 0 : slt_need(&s->route, DEADLINE_US),
+		.service_time_us =
+			s->naive ? 0 : slt_service_time(&s->route, DEADLINE_US),
 		.remaining_us = DEADLINE_US,
 	};
 
@@ -187,11 +188,11 @@
 static void test_slow_route_is_admitted(void)
 {
 	struct slt_times route = {0};
-	struct slt_numbers n = {.queue = 1, .usable = 1, .free_slots = 1};
+	struct slt_inputs n = {.queue = 1, .usable = 1, .free_slots = 1};
 
 	for (int i = 0; i < SLT_TIMES; i++)
 		slt_times_add(&route, 5 * DEADLINE_US);
-	n.need_us = slt_need(&route, DEADLINE_US);
+	n.service_time_us = slt_service_time(&route, DEADLINE_US);
 	n.remaining_us = DEADLINE_US;
 	g_assert_cmpint(slt_admit(&n), ==, 0);
 	n.remaining_us = DEADLINE_US / 2;
--- a/tests/unit_tgt.c
+++ b/tests/unit_tgt.c
@@ -13,7 +13,7 @@
 	struct fake *fake;
 	struct msg *m;
 	struct tgt *tgt;
-	struct tgt_end end;
+	struct tgt_result end;
 	bool done;
 	bool begun;
 	bool silent;
@@ -44,10 +44,10 @@
 	return p->give_up;
 }
 
-static void on_done(void *arg, struct tgt *tgt, const struct tgt_end *end)
+static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *end)
 {
 	struct probe *p = arg;
-	g_autoptr(GBytes) body = tgt_take(tgt, SIZE_MAX);
+	g_autoptr(GBytes) body = tgt_read_body(tgt, SIZE_MAX);
 	gsize size;
 	const guint8 *data = g_bytes_get_data(body, &size);
 
