--- a/src/fed.c
+++ b/src/fed.c
@@ -63,21 +63,22 @@
 	return first[0] == node->self;
 }
 
-static void choose(struct fed *fed, int64_t now_us)
+static void update_reading(struct fed *fed, int64_t now_us)
 {
 	bool was = fed->reading;
-	/* Who has begun goes on until a reader is heard. */
-	bool deaf = now_us - fed->last_rx_us > FED_READER_TIMEOUT_US &&
-		    (was || now_us - fed->listed_us > FED_LIST_FRESH_US);
+	/* A node that reads continues until a heartbeat arrives. */
+	bool no_reader = now_us - fed->last_rx_us > FED_READER_TIMEOUT_US &&
+			 (was || now_us - fed->listed_us > FED_LIST_FRESH_US);
 
-	if (deaf)
-		fed->deaf_us = now_us;
+	if (no_reader)
+		fed->no_reader_us = now_us;
 	if (is_chosen(fed, now_us))
 		fed->chosen_us = now_us;
 	fed->chosen = fed->chosen_us && !fed->node->stopping &&
 		      now_us - fed->chosen_us < FED_HANDOVER_US;
-	fed->reading = fed->chosen || deaf ||
-		       (was && now_us - fed->deaf_us < FED_READ_HYSTERESIS_US);
+	fed->reading =
+		fed->chosen || no_reader ||
+		(was && now_us - fed->no_reader_us < FED_READ_HYSTERESIS_US);
 	if (was != fed->reading)
 		fs_log_eventf(
 			"fed", G_LOG_LEVEL_INFO, "reading",
@@ -101,7 +102,7 @@
 {
 	struct fed *fed = task;
 
-	choose(fed, now_us);
+	update_reading(fed, now_us);
 	fed_read_tick(fed, now_us);
 	fed_broadcast_tick(fed, now_us);
 	fed_node_tick(fed, now_us);
@@ -114,9 +115,9 @@
 	struct msg *m;
 
 	if ((fed->cfg && version <= fed->cfg->version) ||
-	    now_us - fed->asked_config_us < FED_QUERY_INTERVAL_US)
+	    now_us - fed->config_queried_us < FED_QUERY_INTERVAL_US)
 		return;
-	fed->asked_config_us = now_us;
+	fed->config_queried_us = now_us;
 	m = msg_new(MSG_CONFIG_ASK, peer, MSG_TASK_CONFIG);
 	m->config_ask.known = fed->cfg ? fed->cfg->version : 0;
 	bus_send(fed->node->bus, m);
@@ -144,8 +145,8 @@
 		fed->view = mem_view_ref(m->view.view);
 		break;
 	case MSG_CONFIG_HINT:
-		/* The reader of this domain has it as well, or soon. */
-		if (now_us - fed->local_us > FED_READER_TIMEOUT_US)
+		/* This domain's reader already has that version or gets it soon. */
+		if (now_us - fed->local_rx_us > FED_READER_TIMEOUT_US)
 			fed_request_config(fed, m->config_hint.node,
 					   m->config_hint.version, now_us);
 		break;
@@ -188,7 +189,7 @@
 		"\"heard_ms_ago\":%lld,\"calls\":%" G_GUINT64_FORMAT "}",
 		fed->cfg ? fed->cfg->version : 0, dir_count(fed->dir),
 		fed->reading ? "true" : "false", fed->chosen ? "true" : "false",
-		fed->away ? "true" : "false",
+		fed->store_lost ? "true" : "false",
 		(long long)((now_us - fed->last_rx_us) / FS_US_PER_MS),
 		fed->platform.kvs.ops->calls(fed->platform.kvs.store));
 }
@@ -204,8 +205,8 @@
 	fed->dir = dir;
 	fed->random = node->self ^ node->incarnation;
 	fed->started_us = now_us;
-	/* Reads at once: nobody has been heard yet. */
-	fed->last_rx_us = fed->local_us = fed->listed_us =
+	/* Reads at once: no heartbeat has been received yet. */
+	fed->last_rx_us = fed->local_rx_us = fed->listed_us =
 		now_us - 2 * FED_READER_TIMEOUT_US;
 	fed_read_init(fed);
 	dir_on_removed(dir, fed_queue_removal, fed);
@@ -223,9 +224,9 @@
 		return;
 	kvs = &fed->platform.kvs;
 	dir_on_removed(fed->dir, NULL, NULL);
-	kvs->ops->forget(kvs->store, &fed->targets);
-	kvs->ops->forget(kvs->store, &fed->config);
-	kvs->ops->forget(kvs->store, fed);
+	kvs->ops->cancel(kvs->store, &fed->targets);
+	kvs->ops->cancel(kvs->store, &fed->config);
+	kvs->ops->cancel(kvs->store, fed);
 	node_remove_tick(fed->node, fed);
 	msg_free(fed->changes);
 	g_free(fed->targets.page_after);
--- a/tests/unit_plf.c
+++ b/tests/unit_plf.c
@@ -1,5 +1,5 @@
-/* The platform's forms: what is decoded, what is refused, what a call's answer
- * becomes. */
+/* The platform's formats: decoding, rejection of malformed entries, and mapping
+ * of responses. */
 #include <curl/curl.h>
 #include <string.h>
 
@@ -43,7 +43,7 @@
 	g_assert_true(r->repeatable);
 	g_assert_cmpuint(r->share_count, ==, 2);
 	g_assert_cmpuint(r->shares[1].weight, ==, 10);
-	/* A kind that is not known must not be repeated. */
+	/* Requests of an unknown kind are not repeatable. */
 	g_assert_false(cfg->routes[cfg_find_route(cfg, "r3")].repeatable);
 }
 
@@ -97,7 +97,7 @@
 	g_assert_true(e.leaving);
 }
 
-/* Another writer's entries name no server to use. */
+/* Entries of another writer are rejected. */
 static void test_other_writers(void)
 {
 	static const char *const texts[] = {
@@ -132,7 +132,7 @@
 	int err;
 	uint32_t count;
 	bool more;
-	bool gone;
+	bool removed;
 	uint64_t at_rev;
 	uint64_t lease;
 	char *value;
@@ -158,7 +158,7 @@
 	call->more = page->more;
 	call->at_rev = page->at_rev;
 	if (page->count) {
-		call->gone = page->items[page->count - 1].gone;
+		call->removed = page->items[page->count - 1].removed;
 		call->value = g_strdup(page->items[0].value);
 	}
 }
@@ -240,7 +240,7 @@
 	c.kvs.ops->watch(c.kvs.store, "op/", 411, FS_US_PER_S, on_page, &c);
 	call_end(&c);
 	g_assert_cmpint(c.err, ==, 0);
-	g_assert_true(c.gone);
+	g_assert_true(c.removed);
 }
 
 static void expect_err(unsigned int status, const char *body, int err)
@@ -263,7 +263,7 @@
 		   FS_E_PROTOCOL);
 }
 
-/* A store that reads a call and says nothing: the call ends by itself. */
+/* A store that accepts a call and never answers: the call times out. */
 static void test_silence(void)
 {
 	expect_err(0, "", FS_E_UNAVAILABLE);
