--- a/src/dsp.c
+++ b/src/dsp.c
@@ -14,7 +14,7 @@
 	ctr_count(dsp->node->ctr, name, 1);
 }
 
-static void run_all(struct dsp *dsp, int64_t now_us)
+static void start_all_queued(struct dsp *dsp, int64_t now_us)
 {
 	GHashTableIter iter;
 	struct dsp_shard *shard;
@@ -24,14 +24,14 @@
 		dsp_run_start_queued(shard, now_us);
 }
 
-static void refuse_unread(struct dsp_run *run, int64_t now_us)
+static void refuse_stalled(struct dsp_run *run, int64_t now_us)
 {
 	dsp_audit_refusal(run, FS_E_TRUNCATED, NULL, now_us);
 	dsp_run_refuse(run, FS_E_TRUNCATED, FS_UNKNOWN, 0, now_us);
 }
 
 /* A caller that does not read holds its stream past the deadline. */
-static void drop_unread(struct dsp *dsp, int64_t now_us)
+static void drop_stalled(struct dsp *dsp, int64_t now_us)
 {
 	g_autoptr(GPtrArray) late = g_ptr_array_new();
 	GHashTableIter iter;
@@ -39,12 +39,12 @@
 
 	g_hash_table_iter_init(&iter, dsp->runs);
 	while (g_hash_table_iter_next(&iter, (void **)&run, NULL)) {
-		if (run->ended &&
+		if (run->body_complete &&
 		    now_us > run->deadline_us + DSP_STREAM_GRACE_US)
 			g_ptr_array_add(late, run);
 	}
 	for (guint i = 0; i < late->len; i++)
-		refuse_unread(late->pdata[i], now_us);
+		refuse_stalled(late->pdata[i], now_us);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int events)
@@ -61,22 +61,22 @@
 		dsp_health_tick(shard, now_us);
 	dsp_health_dependencies(dsp);
 	dsp_owner_tick(dsp, now_us);
-	drop_unread(dsp, now_us);
-	run_all(dsp, now_us);
+	drop_stalled(dsp, now_us);
+	start_all_queued(dsp, now_us);
 	dsp_drain_tick(dsp, now_us);
 	dsp_seen_expire(dsp->seen, now_us);
 	key_expire(dsp->keys, now_us);
 	dsp_leave_tick(dsp, now_us);
 }
 
-static void take_config(struct dsp *dsp, const struct msg *m, int64_t now_us)
+static void apply_config(struct dsp *dsp, const struct msg *m, int64_t now_us)
 {
 	dsp_shard_rebuild(dsp, m->config.cfg, now_us);
 	dsp->owners_changed = true;
-	run_all(dsp, now_us);
+	start_all_queued(dsp, now_us);
 }
 
-static void take_view(struct dsp *dsp, const struct msg *m, int64_t now_us)
+static void apply_view(struct dsp *dsp, const struct msg *m, int64_t now_us)
 {
 	mem_view_unref(dsp->view);
 	dsp->view = mem_view_ref(m->view.view);
@@ -85,7 +85,7 @@
 	dsp_cancel_dead(dsp, now_us);
 }
 
-static void take_credit(struct dsp *dsp, const struct msg *m, int64_t now_us)
+static void apply_credit(struct dsp *dsp, const struct msg *m, int64_t now_us)
 {
 	struct dsp_run *run = g_hash_table_lookup(dsp->runs, &m->credit.id);
 
@@ -105,13 +105,13 @@
 		dsp_cancel(dsp, m, now_us);
 		break;
 	case MSG_CREDIT:
-		take_credit(dsp, m, now_us);
+		apply_credit(dsp, m, now_us);
 		break;
 	case MSG_CONFIG:
-		take_config(dsp, m, now_us);
+		apply_config(dsp, m, now_us);
 		break;
 	case MSG_VIEW:
-		take_view(dsp, m, now_us);
+		apply_view(dsp, m, now_us);
 		break;
 	case MSG_RECORD:
 		dsp_health_record(dsp, m, now_us);
@@ -121,7 +121,7 @@
 		break;
 	case MSG_TARGETS_LEAVING:
 		dsp_leave_targets(dsp, m, now_us);
-		run_all(dsp, now_us);
+		start_all_queued(dsp, now_us);
 		break;
 	case MSG_HANDOVER:
 		dsp_handover_receive(dsp, m, now_us);
@@ -155,7 +155,7 @@
 	dsp->pool = tgt_pool_new(node->loop, TGT_POOL_CONNECTIONS);
 	dsp->shards = g_hash_table_new(g_str_hash, g_str_equal);
 	dsp->servers = g_hash_table_new(g_str_hash, g_str_equal);
-	dsp->told =
+	dsp->reported_leaving =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	dsp->budgets =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -164,7 +164,7 @@
 	dsp->records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					     free_msg);
 	dsp->runs = g_hash_table_new(dsp_id_hash, dsp_id_equal);
-	dsp->handed =
+	dsp->handed_over =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	dsp->owned =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -206,12 +206,12 @@
 		dsp_shard_free(shard);
 	g_hash_table_unref(dsp->shards);
 	g_hash_table_unref(dsp->servers);
-	g_hash_table_unref(dsp->told);
+	g_hash_table_unref(dsp->reported_leaving);
 	g_hash_table_unref(dsp->budgets);
 	g_hash_table_unref(dsp->routes);
 	g_hash_table_unref(dsp->records);
 	g_hash_table_unref(dsp->runs);
-	g_hash_table_unref(dsp->handed);
+	g_hash_table_unref(dsp->handed_over);
 	g_hash_table_unref(dsp->owned);
 	dsp_seen_free(dsp->seen);
 	key_table_free(dsp->keys);
--- a/src/dsp_admit.c
+++ b/src/dsp_admit.c
@@ -35,8 +35,8 @@
 
 	memset(n, 0, sizeof(*n));
 	n->remaining_us = run->deadline_us - now_us;
-	n->service_time_us =
-		slt_service_time(&dsp_route_of(run)->whole, run->allowed_us);
+	n->service_time_us = slt_service_time(&dsp_route_of(run)->total_times,
+					      run->route_deadline_us);
 	if (!shard)
 		return;
 	dsp_shard_slots(shard, run->repeatable, now_us, slots);
@@ -50,11 +50,11 @@
 	n->waiting = shard->que.count;
 	n->queue = dsp_shard_service(shard)->queue;
 	n->ahead = que_count_ahead(&shard->que, run->priority);
-	n->slot_time_us = slt_times_mean(&shard->hold);
+	n->slot_time_us = slt_times_mean(&shard->slot_times);
 }
 
-static void turn_away(struct dsp *dsp, const struct msg *m, int err,
-		      int64_t now_us)
+static void reject(struct dsp *dsp, const struct msg *m, int err,
+		   int64_t now_us)
 {
 	const struct msg_request *request = &m->request;
 	struct msg_refusal refusal = {
@@ -73,8 +73,9 @@
 
 /* Another live node that this one hears goes first, unless the entry could
  * not reach it. */
-static bool is_others(const struct dsp *dsp, const struct dsp_shard *shard,
-		      const struct msg_request *request)
+static bool has_other_owner(const struct dsp *dsp,
+			    const struct dsp_shard *shard,
+			    const struct msg_request *request)
 {
 	const struct mem_member *owner;
 	node_id id;
@@ -88,8 +89,9 @@
 	return owner && owner->state == MEM_ALIVE && owner->direct;
 }
 
-static int check(struct dsp *dsp, const struct msg *m, struct dsp_shard **shard,
-		 handle *route, int64_t now_us)
+static int check_request(struct dsp *dsp, const struct msg *m,
+			 struct dsp_shard **shard, handle *route,
+			 int64_t now_us)
 {
 	const struct msg_request *request = &m->request;
 	const struct cfg_service *service;
@@ -104,7 +106,7 @@
 	*route = cfg_find_route(dsp->cfg, request->route);
 	if (!*shard || *route == FS_NONE ||
 	    dsp->cfg->routes[*route].service != (*shard)->shard->service ||
-	    is_others(dsp, *shard, request))
+	    has_other_owner(dsp, *shard, request))
 		return FS_E_NOT_OWNER;
 	service = dsp_shard_service(*shard);
 	if (service->leaving)
@@ -132,15 +134,15 @@
 	run->repeatable = route->repeatable;
 	run->tries_max =
 		route->repeatable ? MIN(route->tries, DSP_ATTEMPTS_MAX) : 1;
-	run->taken_us = now_us;
-	run->allowed_us = route->deadline_us;
+	run->accepted_us = now_us;
+	run->route_deadline_us = route->deadline_us;
 	run->deadline_us =
 		now_us + MIN(run->m->request.remaining_us, route->deadline_us);
 	g_hash_table_add(dsp->runs, run);
 	return run;
 }
 
-static int take_key(struct dsp_run *run, int64_t now_us)
+static int acquire_key(struct dsp_run *run, int64_t now_us)
 {
 	const struct msg_request *request = &run->m->request;
 	int err;
@@ -149,8 +151,8 @@
 		return 0;
 	err = key_begin(run->dsp->keys, request->service, request->key,
 			request->shard, now_us);
-	run->keyed = !err;
-	if (run->keyed)
+	run->holds_key = !err;
+	if (run->holds_key)
 		dsp_handover_key(run, true, now_us);
 	return err == FS_E_NO_MEMORY ? FS_E_ENTRY_FULL : err;
 }
@@ -186,7 +188,7 @@
 		return err;
 	if (err && !que_find_evictable(&run->shard->que, run->priority))
 		return err;
-	key_err = take_key(run, now_us);
+	key_err = acquire_key(run, now_us);
 	if (key_err)
 		return key_err;
 	return err ? shed(run, now_us) : 0;
@@ -209,9 +211,9 @@
 	}
 	err = state == DSP_SEEN_CANCELLED ?
 		      FS_E_CANCELLED :
-		      check(dsp, m, &shard, &route, now_us);
+		      check_request(dsp, m, &shard, &route, now_us);
 	if (err) {
-		turn_away(dsp, m, err, now_us);
+		reject(dsp, m, err, now_us);
 		return;
 	}
 	run = run_new(dsp, m, shard, route, now_us);
--- a/src/dsp_cancel.c
+++ b/src/dsp_cancel.c
@@ -40,9 +40,9 @@
 		dsp_run_start_queued(shard, now_us);
 }
 
-typedef bool (*lost_fn)(const struct dsp_run *run, node_id node);
+typedef bool (*match_fn)(const struct dsp_run *run, node_id node);
 
-static GPtrArray *select_runs(struct dsp *dsp, lost_fn lost, node_id node)
+static GPtrArray *select_runs(struct dsp *dsp, match_fn matches, node_id node)
 {
 	GPtrArray *runs = g_ptr_array_new();
 	GHashTableIter iter;
@@ -50,7 +50,7 @@
 
 	g_hash_table_iter_init(&iter, dsp->runs);
 	while (g_hash_table_iter_next(&iter, (void **)&run, NULL)) {
-		if (lost(run, node))
+		if (matches(run, node))
 			g_ptr_array_add(runs, run);
 	}
 	return runs;
@@ -60,7 +60,7 @@
  * its answer goes on, since the entry may wait for it on a new link. */
 static bool is_stream(const struct dsp_run *run, node_id node)
 {
-	return run->from == node && run->begun;
+	return run->from == node && run->streaming;
 }
 
 static bool is_dead(const struct dsp_run *run, node_id node)
--- a/src/dsp_drain.c
+++ b/src/dsp_drain.c
@@ -2,25 +2,25 @@
  * on. It is asked by its probe path whether that still holds. Such answers can
  * lag, so it is used again only if it has refused a connection in between,
  * which shows that it was replaced or started again under its name, or if it
- * has answered without that field for DRAIN_CLEAN_US. Without a probe path,
+ * has answered without that field for DRAIN_CLEAR_US. Without a probe path,
  * accepting a connection counts as an answer. */
 #include <string.h>
 
 #include "dsp_impl.h"
 
-#define DRAIN_CHECK_US 2000000LL  /* between two checks */
-#define DRAIN_CLEAN_US 30000000LL /* without the signal, and then used */
+#define DRAIN_CHECK_INTERVAL_US 2000000LL /* between two checks */
+#define DRAIN_CLEAR_US 30000000LL /* without the signal, and then used */
 #define DRAIN_TIMEOUT_MS 1000L	  /* of one check */
 
 struct dsp_drain {
 	struct crl *crl;
-	CURL *easy; /* NULL: no check runs */
-	bool path;  /* by HTTP, not by a connection alone */
-	bool headed;
+	CURL *easy;   /* NULL: no check runs */
+	bool by_http; /* by HTTP, not by a connection alone */
+	bool has_headers;
 	bool draining;
-	bool gone; /* it has refused a connection since */
+	bool refused; /* it has refused a connection since */
 	int64_t checked_us;
-	int64_t clean_us; /* answers without the signal since; 0: none */
+	int64_t clear_since_us; /* answers without the signal since; 0: none */
 };
 
 static size_t on_header(char *data, size_t size, size_t n, void *arg)
@@ -30,7 +30,7 @@
 	g_autofree char *line = g_strndup(data, size * n);
 
 	if (!strncmp(line, "HTTP/", 5))
-		drain->headed = true;
+		drain->has_headers = true;
 	else if (!g_ascii_strncasecmp(line, field, sizeof(field) - 1) &&
 		 !strcmp(g_strstrip(line + sizeof(field) - 1), "1"))
 		drain->draining = true;
@@ -48,28 +48,28 @@
 {
 	struct dsp_drain *drain = arg;
 
-	bool clean = drain->path ? drain->headed && !drain->draining :
-				   code == CURLE_OK;
+	bool clear = drain->by_http ? drain->has_headers && !drain->draining :
+				      code == CURLE_OK;
 
 	if (code == CURLE_COULDNT_CONNECT)
-		drain->gone = true;
-	if (!clean)
-		drain->clean_us = 0;
-	else if (!drain->clean_us)
-		drain->clean_us = fs_now_us();
+		drain->refused = true;
+	if (!clear)
+		drain->clear_since_us = 0;
+	else if (!drain->clear_since_us)
+		drain->clear_since_us = fs_now_us();
 	curl_easy_cleanup(easy);
 	drain->easy = NULL;
 }
 
-static void check_begin(struct dsp_drain *drain, const char *address,
+static void check_start(struct dsp_drain *drain, const char *address,
 			const char *path)
 {
 	CURL *easy = curl_easy_init();
 	g_autofree char *url =
 		g_strdup_printf("http://%s%s", address, path ? path : "/");
 
-	drain->path = path != NULL;
-	drain->headed = false;
+	drain->by_http = path != NULL;
+	drain->has_headers = false;
 	drain->draining = false;
 	curl_easy_setopt(easy, CURLOPT_URL, url);
 	curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
@@ -89,9 +89,9 @@
 	}
 }
 
-bool dsp_drain_has_ended(bool gone, int64_t clean_us)
+bool dsp_drain_has_ended(bool refused, int64_t clear_us)
 {
-	return gone || clean_us >= DRAIN_CLEAN_US;
+	return refused || clear_us >= DRAIN_CLEAR_US;
 }
 
 void dsp_drain_free(struct dsp_drain *drain)
@@ -112,24 +112,25 @@
 	const char *address =
 		shard->cfg->servers[shard->shard->servers[i]].address;
 
-	if (!server->drained)
+	if (!server->signalled_draining)
 		return;
 	if (!drain) {
 		drain = server->drain = g_new0(struct dsp_drain, 1);
 		drain->crl = tgt_pool_crl(shard->dsp->pool);
 		drain->checked_us = now_us;
 	}
-	if (drain->clean_us &&
-	    dsp_drain_has_ended(drain->gone, now_us - drain->clean_us)) {
+	if (drain->clear_since_us &&
+	    dsp_drain_has_ended(drain->refused,
+				now_us - drain->clear_since_us)) {
 		dsp_drain_free(drain);
 		server->drain = NULL;
-		server->drained = false;
+		server->signalled_draining = false;
 		dsp_audit_drain(shard->dsp, dsp_shard_service(shard)->name,
 				server->name, "target_signal_over", now_us);
 	} else if (!drain->easy &&
-		   now_us - drain->checked_us >= DRAIN_CHECK_US) {
+		   now_us - drain->checked_us >= DRAIN_CHECK_INTERVAL_US) {
 		drain->checked_us = now_us;
-		check_begin(drain, address,
+		check_start(drain, address,
 			    dsp_shard_service(shard)->probe_path);
 	}
 }
--- a/src/dsp_exchange.c
+++ b/src/dsp_exchange.c
@@ -28,7 +28,7 @@
 		return HLT_CONNECT_FAILED;
 	case FS_E_DEADLINE:
 		/* A caller that reads slowly is not the target's fault. */
-		if (!end->written || run->begun)
+		if (!end->written || run->streaming)
 			return HLT_CANCELLED;
 		return HLT_TIMED_OUT;
 	case FS_E_TARGET_RESET:
@@ -39,19 +39,19 @@
 }
 
 /* Frees the slot and tells the judge. */
-static void release(struct dsp_run *run, const struct hlt_end *end,
-		    int64_t now_us)
+static void release_slot(struct dsp_run *run, const struct hlt_end *end,
+			 int64_t now_us)
 {
 	struct dsp_server *server = dsp_run_server(run);
 	uint32_t i = dsp_shard_index(run->shard, server);
 
-	if (!run->running)
+	if (!run->holds_slot)
 		return;
-	run->running = false;
+	run->holds_slot = false;
 	server->in_flight--;
 	if (!run->shard)
 		return;
-	slt_times_add(&run->shard->hold, now_us - run->started_us);
+	slt_times_add(&run->shard->slot_times, now_us - run->started_us);
 	if (i != FS_NONE)
 		hlt_request_finished(run->shard->hlt, i, run->token, end,
 				     now_us);
@@ -64,7 +64,7 @@
 		.took_us = now_us - run->started_us,
 	};
 
-	release(run, &end, now_us);
+	release_slot(run, &end, now_us);
 	if (run->tgt && tgt_free(run->tgt))
 		run->written = true;
 	run->tgt = NULL;
@@ -77,7 +77,7 @@
 
 	n->repeatable = run->repeatable;
 	n->written = written || run->written;
-	n->begun = run->begun;
+	n->begun = run->streaming;
 	n->tries = run->tries;
 	n->tries_max = written || run->repeatable ?
 			       run->tries_max :
@@ -90,56 +90,56 @@
 }
 
 /* Decides on another try, spends from the budget and records it. */
-static bool decide_again(struct dsp_run *run, bool written, bool same,
+static bool decide_retry(struct dsp_run *run, bool written, bool same,
 			 int64_t now_us)
 {
 	struct rty_input n;
-	bool again = dsp_exchange_may_retry(run, written, same, now_us, &n);
+	bool retry = dsp_exchange_may_retry(run, written, same, now_us, &n);
 
-	dsp_audit_retry(run, &n, again, now_us);
-	if (again) {
+	dsp_audit_retry(run, &n, retry, now_us);
+	if (retry) {
 		rty_budget_spend(dsp_budget_of(
 			run->dsp, run->m->request.service, now_us));
 		dsp_count(run->dsp, "retries", run->m->request.service);
 	}
-	return again;
+	return retry;
 }
 
-static void forget_exchange(struct dsp_run *run)
+static void free_exchange(struct dsp_run *run)
 {
 	tgt_free(run->tgt);
 	run->tgt = NULL;
 }
 
-static void note_good(struct dsp_run *run, const struct tgt_result *end,
-		      int64_t now_us)
+static void record_success(struct dsp_run *run, const struct tgt_result *end,
+			   int64_t now_us)
 {
 	struct dsp_route *route = dsp_route_of(run);
 
-	slt_times_add(&route->whole, now_us - run->started_us);
-	slt_times_add(&route->head, end->took_us);
+	slt_times_add(&route->total_times, now_us - run->started_us);
+	slt_times_add(&route->headers_times, end->took_us);
 }
 
 /* A whole answer: passed on, unless another try may do better. */
-static void answered(struct dsp_run *run, const struct tgt_result *end,
-		     int64_t now_us)
+static void handle_answer(struct dsp_run *run, const struct tgt_result *end,
+			  int64_t now_us)
 {
 	uint32_t status = tgt_status(run->tgt);
 	bool not_run = is_not_run(run, status);
 	enum fs_outcome outcome = FS_ANSWERED;
 
 	if (status < 500)
-		note_good(run, end, now_us);
-	if (run->begun) {
-		run->ended = true;
+		record_success(run, end, now_us);
+	if (run->streaming) {
+		run->body_complete = true;
 		dsp_stream_send(run, now_us);
 		return;
 	}
 	if (run->repeatable && (not_run || status >= 500) &&
-	    decide_again(run, !not_run, false, now_us)) {
+	    decide_retry(run, !not_run, false, now_us)) {
 		run->written |= !not_run;
 		run->err = FS_E_DEADLINE;
-		forget_exchange(run);
+		free_exchange(run);
 		dsp_run_requeue(run, FS_E_TARGET_REFUSED, now_us);
 		return;
 	}
@@ -152,21 +152,21 @@
 	dsp_run_end(run, outcome, now_us);
 }
 
-static void failed(struct dsp_run *run, const struct tgt_result *end,
-		   int64_t now_us)
+static void handle_failure(struct dsp_run *run, const struct tgt_result *end,
+			   int64_t now_us)
 {
 	int err = end->err;
-	bool again = decide_again(run, end->written, end->reused, now_us);
+	bool retry = decide_retry(run, end->written, end->reused, now_us);
 
 	if (end->written || !run->written)
 		run->err = err;
 	run->written |= end->written;
-	forget_exchange(run);
-	if (again) {
+	free_exchange(run);
+	if (retry) {
 		dsp_run_requeue(run, err, now_us);
 		return;
 	}
-	if (run->begun)
+	if (run->streaming)
 		err = FS_E_TRUNCATED;
 	else if (run->written)
 		err = run->err;
@@ -181,20 +181,20 @@
 	struct dsp_run *run = arg;
 	struct dsp_shard *shard = run->shard;
 	int64_t now_us = fs_now_us();
-	struct hlt_end judged = {
+	struct hlt_end report = {
 		.result = result_of(run, end),
 		.took_us = end->took_us,
 		.reused_connection = end->reused,
 	};
 
-	release(run, &judged, now_us);
+	release_slot(run, &report, now_us);
 	if (shard && end->headers_complete)
 		dsp_leave_answer(shard, dsp_run_server(run), tgt_draining(tgt),
 				 now_us);
 	if (end->err)
-		failed(run, end, now_us);
+		handle_failure(run, end, now_us);
 	else
-		answered(run, end, now_us);
+		handle_answer(run, end, now_us);
 	if (shard)
 		dsp_run_start_queued(shard, now_us);
 }
@@ -212,7 +212,7 @@
 }
 
 /* Gives a silent try up only if another one may follow. */
-static bool on_silent(void *arg, struct tgt *tgt)
+static bool on_headers_overdue(void *arg, struct tgt *tgt)
 {
 	struct dsp_run *run = arg;
 	struct rty_input n;
@@ -224,24 +224,25 @@
 static const struct tgt_ops exchange_ops = {
 	.begun = on_begun,
 	.more = on_more,
-	.headers_overdue = on_silent,
+	.headers_overdue = on_headers_overdue,
 	.done = on_done,
 };
 
 /* When the header fields should be here, so that another try has time. */
-static int64_t head_limit(const struct dsp_run *run, int64_t now_us)
+static int64_t headers_deadline(const struct dsp_run *run, int64_t now_us)
 {
-	const struct slt_times *head = &dsp_route_of(run)->head;
-	int64_t left_us = run->deadline_us - now_us;
-	int64_t slow_us =
-		slt_times_quantile(head, DSP_HEADERS_TIMEOUT_PERMILLE);
-	uint32_t tries_left = run->tries_max - MIN(run->tries, run->tries_max);
+	const struct slt_times *times = &dsp_route_of(run)->headers_times;
+	int64_t remaining_us = run->deadline_us - now_us;
+	int64_t slow_answer_us =
+		slt_times_quantile(times, DSP_HEADERS_TIMEOUT_PERMILLE);
+	uint32_t attempts_left =
+		run->tries_max - MIN(run->tries, run->tries_max);
 
-	if (!run->repeatable || !tries_left)
+	if (!run->repeatable || !attempts_left)
 		return run->deadline_us;
-	return now_us +
-	       MIN(left_us / 2, MAX(slow_us * DSP_HEADERS_TIMEOUT_FACTOR,
-				    DSP_HEADERS_TIMEOUT_MIN_US));
+	return now_us + MIN(remaining_us / 2,
+			    MAX(slow_answer_us * DSP_HEADERS_TIMEOUT_FACTOR,
+				DSP_HEADERS_TIMEOUT_MIN_US));
 }
 
 void dsp_exchange_begin(struct dsp_run *run, uint32_t i, int64_t now_us)
@@ -265,15 +266,15 @@
 	server->refs++;
 	server->in_flight++;
 	run->tried[run->tries++] = server;
-	run->running = true;
+	run->holds_slot = true;
 	run->started_us = now_us;
 	run->token = hlt_request_started(shard->hlt, i,
 					 run->deadline_us - now_us, now_us);
-	request.headers_deadline_us = head_limit(run, now_us);
+	request.headers_deadline_us = headers_deadline(run, now_us);
 	run->tgt =
 		tgt_start(run->dsp->pool, &request, &exchange_ops, run, now_us);
 	if (run->tgt)
 		return;
-	release(run, &end, now_us);
+	release_slot(run, &end, now_us);
 	dsp_run_requeue(run, FS_E_CONNECT, now_us);
 }
--- a/src/dsp_handover.c
+++ b/src/dsp_handover.c
@@ -19,7 +19,7 @@
 	return id == dsp->node->self ? 0 : id;
 }
 
-static char *name_of(const struct dsp *dsp, const struct shd_shard *shard)
+static char *shard_name(const struct dsp *dsp, const struct shd_shard *shard)
 {
 	return g_strdup_printf("%s/%s/%u", shard->region,
 			       dsp->cfg->services[shard->service].name,
@@ -27,19 +27,19 @@
 }
 
 /* Notes who owns a shard; returns whether that node needs its keys now. */
-static bool note_owner(struct dsp *dsp, const struct shd_shard *shard,
-		       node_id owner)
+static bool update_owner(struct dsp *dsp, const struct shd_shard *shard,
+			 node_id owner)
 {
-	g_autofree char *name = name_of(dsp, shard);
-	const node_id *known = g_hash_table_lookup(dsp->handed, name);
+	g_autofree char *name = shard_name(dsp, shard);
+	const node_id *known = g_hash_table_lookup(dsp->handed_over, name);
 
 	if ((known ? *known : 0) == owner)
 		return false;
 	if (owner)
-		g_hash_table_replace(dsp->handed, g_steal_pointer(&name),
+		g_hash_table_replace(dsp->handed_over, g_steal_pointer(&name),
 				     g_memdup2(&owner, sizeof(owner)));
 	else
-		g_hash_table_remove(dsp->handed, name);
+		g_hash_table_remove(dsp->handed_over, name);
 	return owner != 0;
 }
 
@@ -82,7 +82,7 @@
 	if (g_hash_table_lookup_extended(h->messages, key, NULL, (void **)&m))
 		return m;
 	owner = other_owner(h->dsp, s);
-	if (note_owner(h->dsp, s, owner))
+	if (update_owner(h->dsp, s, owner))
 		m = message_new(h->dsp, s, owner);
 	g_hash_table_insert(h->messages, key, m);
 	return m;
@@ -148,7 +148,7 @@
 	if (!owner)
 		return;
 	m = message_new(dsp, &dsp->map->shards[shard], owner);
-	message_add(m, request->key, in_flight, now_us - run->taken_us);
+	message_add(m, request->key, in_flight, now_us - run->accepted_us);
 	message_send(dsp, m);
 }
 
--- a/src/dsp_impl.h
+++ b/src/dsp_impl.h
@@ -40,8 +40,8 @@
 	char *name;
 	int refs;
 	uint32_t in_flight;
-	bool told;		 /* the list of VMs says that it is leaving */
-	bool drained;		 /* it said so itself */
+	bool reported_leaving;	 /* the list of VMs says that it is leaving */
+	bool signalled_draining; /* it said so itself */
 	struct dsp_drain *drain; /* whether it still says so */
 };
 
@@ -55,8 +55,8 @@
 	struct dsp_server *servers[FS_SHARD_SERVERS_MAX];
 	struct hlt_shard *hlt;
 	struct que que;
-	struct slt_times hold; /* how long requests held a slot of late */
-	uint32_t rotate;       /* where ties begin */
+	struct slt_times slot_times; /* how long requests held a slot of late */
+	uint32_t rotate;	     /* where ties begin */
 };
 
 /** One request that was taken. */
@@ -68,11 +68,11 @@
 	struct msg *m; /* the MSG_REQUEST */
 	node_id from;
 	enum cfg_priority priority;
-	int64_t taken_us;
+	int64_t accepted_us;
 	int64_t deadline_us;
-	int64_t allowed_us; /* the route's whole deadline */
+	int64_t route_deadline_us; /* the route's whole deadline */
 	bool repeatable;
-	bool keyed; /* its key is taken */
+	bool holds_key; /* its key is taken */
 	uint32_t tries_max;
 	uint32_t tries;
 	struct dsp_server
@@ -82,21 +82,21 @@
 
 	/* The exchange in progress */
 	struct tgt *tgt;
-	bool running; /* it holds a slot */
+	bool holds_slot; /* it holds a slot */
 	uint32_t token;
 	int64_t started_us;
 
 	/* A streamed answer */
-	bool begun;
-	bool ended;	 /* the target has sent all of it */
-	uint64_t sent;	 /* bytes */
-	uint64_t credit; /* bytes that may be sent in all */
+	bool streaming;
+	bool body_complete; /* the target has sent all of it */
+	uint64_t sent;	    /* bytes */
+	uint64_t credit;    /* bytes that may be sent in all */
 };
 
 /** What is known of a route's good answers. */
 struct dsp_route {
-	struct slt_times whole; /* until the whole answer */
-	struct slt_times head;	/* until its header fields */
+	struct slt_times total_times;	/* until the whole answer */
+	struct slt_times headers_times; /* until its header fields */
 };
 
 struct dsp {
@@ -105,24 +105,24 @@
 	struct cfg *cfg;
 	struct shd_map *map;
 	struct mem_view *view;
-	GHashTable *shards;  /* key to struct dsp_shard */
-	GHashTable *servers; /* name to struct dsp_server */
-	GHashTable *told;    /* names of servers told to be leaving */
-	GHashTable *budgets; /* service to struct rty_budget */
-	GHashTable *routes;  /* name to struct dsp_route */
+	GHashTable *shards;	      /* key to struct dsp_shard */
+	GHashTable *servers;	      /* name to struct dsp_server */
+	GHashTable *reported_leaving; /* names of servers told to be leaving */
+	GHashTable *budgets;	      /* service to struct rty_budget */
+	GHashTable *routes;	      /* name to struct dsp_route */
 	GHashTable *records; /* service to the last struct msg_record */
 	GHashTable *runs;    /* struct dsp_run by id */
 	struct dsp_seen *seen;
 	struct key_table *keys;
-	GHashTable *handed; /* shard key to node_id that has its keys */
-	GHashTable *owned;  /* shards that this node dispatches, by name */
+	GHashTable *handed_over; /* shard key to node_id that has its keys */
+	GHashTable *owned;	 /* shards that this node dispatches, by name */
 	bool owners_changed;
 	int64_t owners_us; /* when they were last looked at */
 	ev_timer tick;
 	int64_t ticked_us;
 	int64_t busy_us; /* when a run was last here */
 	bool stopping;
-	bool told_stopped;
+	bool stopped_sent;
 };
 
 /* dsp_shard.c: shards and servers */
@@ -252,7 +252,7 @@
 /** Returns whether a server that said it is leaving may be used again.
  *  @param gone      it has refused a connection since
  *  @param clean_us  it has answered without the signal for so long */
-bool dsp_drain_has_ended(bool gone, int64_t clean_us);
+bool dsp_drain_has_ended(bool refused, int64_t clear_us);
 void dsp_leave_stop(struct dsp *dsp, int64_t now_us);
 void dsp_leave_tick(struct dsp *dsp, int64_t now_us);
 
--- a/src/dsp_judge.c
+++ b/src/dsp_judge.c
@@ -1,8 +1,8 @@
 #include "dsp_impl.h"
 #include "flr.h"
 
-static void ask(struct dsp_shard *shard, uint32_t i, enum hlt_action action,
-		enum aud_rule rule)
+static void request_ejection(struct dsp_shard *shard, uint32_t i,
+			     enum hlt_action action, enum aud_rule rule)
 {
 	struct dsp *dsp = shard->dsp;
 	struct msg *m = msg_new(MSG_EJECT_ASK, dsp->node->self, MSG_TASK_EJECT);
@@ -22,7 +22,7 @@
 	hlt_tick(shard->hlt, shard->dsp->node->aud, now_us, actions, rules);
 	for (uint32_t i = 0; i < shard->count; i++) {
 		if (actions[i] != HLT_ACT_NONE)
-			ask(shard, i, actions[i], rules[i]);
+			request_ejection(shard, i, actions[i], rules[i]);
 	}
 }
 
@@ -45,20 +45,20 @@
 /* Keeps the record for shard objects that are made later. */
 void dsp_health_record(struct dsp *dsp, struct msg *m, int64_t now_us)
 {
-	struct msg *kept = msg_new(MSG_RECORD, m->to, m->task);
+	struct msg *stored = msg_new(MSG_RECORD, m->to, m->task);
 	GHashTableIter iter;
 	struct dsp_shard *shard;
 
-	kept->record = m->record;
+	stored->record = m->record;
 	m->record.service = NULL;
 	m->record.record = NULL;
-	g_hash_table_replace(dsp->records, g_strdup(kept->record.service),
-			     kept);
+	g_hash_table_replace(dsp->records, g_strdup(stored->record.service),
+			     stored);
 	g_hash_table_iter_init(&iter, dsp->shards);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard)) {
 		if (g_str_equal(dsp_shard_service(shard)->name,
-				kept->record.service))
-			apply(shard, &kept->record, now_us);
+				stored->record.service))
+			apply(shard, &stored->record, now_us);
 	}
 }
 
@@ -82,23 +82,23 @@
 }
 
 /* By the service's record, most of its servers in this region are out. */
-static bool is_mostly_out(const struct dsp *dsp, handle service)
+static bool is_mostly_ejected(const struct dsp *dsp, handle service)
 {
 	const struct msg *m = g_hash_table_lookup(
 		dsp->records, dsp->cfg->services[service].name);
-	uint32_t out = 0;
+	uint32_t ejected = 0;
 
 	if (!m || !m->record.record)
 		return false;
 	for (guint i = 0; i < m->record.record->entries->len; i++)
-		out += g_array_index(m->record.record->entries,
-				     struct flr_entry, i)
-			       .state == FLR_OUT;
-	return out * 2 >
+		ejected += g_array_index(m->record.record->entries,
+					 struct flr_entry, i)
+				   .state == FLR_OUT;
+	return ejected * 2 >
 	       cfg_servers_in_region(dsp->cfg, service, dsp->node->set.region);
 }
 
-static bool is_sick(const struct dsp *dsp, handle service)
+static bool is_unhealthy(const struct dsp *dsp, handle service)
 {
 	GHashTableIter iter;
 	struct dsp_shard *shard;
@@ -109,7 +109,7 @@
 		    hlt_shard_unhealthy(shard->hlt))
 			return true;
 	}
-	return is_mostly_out(dsp, service);
+	return is_mostly_ejected(dsp, service);
 }
 
 void dsp_health_dependencies(struct dsp *dsp)
@@ -120,10 +120,10 @@
 	g_hash_table_iter_init(&iter, dsp->shards);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard)) {
 		const struct cfg_service *service = dsp_shard_service(shard);
-		bool sick = false;
+		bool unhealthy = false;
 
 		for (uint32_t i = 0; i < service->depends_count; i++)
-			sick |= is_sick(dsp, service->depends_on[i]);
-		hlt_set_dependency_unhealthy(shard->hlt, sick);
+			unhealthy |= is_unhealthy(dsp, service->depends_on[i]);
+		hlt_set_dependency_unhealthy(shard->hlt, unhealthy);
 	}
 }
--- a/src/dsp_owner.c
+++ b/src/dsp_owner.c
@@ -1,14 +1,14 @@
 /* Records which shards of its region this node dispatches. Looking at all of
  * them takes a hash per shard and member, so it is done at most once in
- * OWNER_CHECK_US. */
+ * OWNER_CHECK_INTERVAL_US. */
 #include <stdio.h>
 
 #include "dsp_impl.h"
 
-#define OWNER_CHECK_US 5000000LL
+#define OWNER_CHECK_INTERVAL_US 5000000LL
 
-static void record(struct dsp *dsp, const struct shd_shard *shard, bool taken,
-		   int64_t now_us)
+static void record_change(struct dsp *dsp, const struct shd_shard *shard,
+			  bool taken, int64_t now_us)
 {
 	struct aud_record rec;
 
@@ -21,8 +21,8 @@
 	aud_emit(dsp->node->aud, &rec);
 }
 
-static void check(struct dsp *dsp, const struct shd_shard *shard,
-		  int64_t now_us)
+static void check_owner(struct dsp *dsp, const struct shd_shard *shard,
+			int64_t now_us)
 {
 	g_autofree char *name = g_strdup_printf(
 		"%s/%u", dsp->cfg->services[shard->service].name, shard->index);
@@ -34,19 +34,19 @@
 		g_hash_table_add(dsp->owned, g_steal_pointer(&name));
 	else
 		g_hash_table_remove(dsp->owned, name);
-	record(dsp, shard, own, now_us);
+	record_change(dsp, shard, own, now_us);
 }
 
 void dsp_owner_tick(struct dsp *dsp, int64_t now_us)
 {
 	if (!dsp->owners_changed || !dsp->cfg || !dsp->view ||
-	    now_us - dsp->owners_us < OWNER_CHECK_US)
+	    now_us - dsp->owners_us < OWNER_CHECK_INTERVAL_US)
 		return;
 	dsp->owners_changed = false;
 	dsp->owners_us = now_us;
 	for (uint32_t i = 0; i < dsp->map->count; i++) {
 		if (g_str_equal(dsp->map->shards[i].region,
 				dsp->node->set.region))
-			check(dsp, &dsp->map->shards[i], now_us);
+			check_owner(dsp, &dsp->map->shards[i], now_us);
 	}
 }
--- a/src/dsp_run.c
+++ b/src/dsp_run.c
@@ -1,7 +1,7 @@
 #include "dsp_impl.h"
 
-/* Which servers have room, for both classes of requests. */
-struct room {
+/* Which servers have capacity, for both classes of requests. */
+struct capacity {
 	struct dsp_shard *shard;
 	struct slt_server slots[2][FS_SHARD_SERVERS_MAX];
 };
@@ -32,7 +32,7 @@
 	dsp_exchange_stop(run, now_us);
 	if (run->shard)
 		que_remove(&run->shard->que, &run->item);
-	if (run->keyed) {
+	if (run->holds_key) {
 		key_end(dsp->keys, request->service, request->key,
 			outcome == FS_NOT_RUN);
 		if (outcome != FS_NOT_RUN)
@@ -89,7 +89,7 @@
 }
 
 /* Nothing that cannot be answered in time may take a slot. */
-static void drop_late(struct dsp_shard *shard, int64_t now_us)
+static void drop_expired(struct dsp_shard *shard, int64_t now_us)
 {
 	for (int p = 0; p < CFG_PRIORITY_COUNT; p++) {
 		GList *next;
@@ -113,16 +113,16 @@
 	return i == FS_NONE ? 0 : 1U << i;
 }
 
-static bool may_take(const struct slt_server *server)
+static bool accepts_work(const struct slt_server *server)
 {
 	return !server->leaving && server->allowed > 0;
 }
 
 /* Servers to pass over: those tried, or only the last one once all were, or
  * none if there is no other. */
-static uint32_t avoid_of(const struct dsp_shard *shard,
-			 const struct dsp_run *run,
-			 const struct slt_server *slots)
+static uint32_t servers_to_avoid(const struct dsp_shard *shard,
+				 const struct dsp_run *run,
+				 const struct slt_server *slots)
 {
 	uint32_t last = mask_of(shard, dsp_run_server(run));
 	uint32_t tried = 0;
@@ -131,7 +131,7 @@
 	for (uint32_t i = 0; i < run->tries; i++)
 		tried |= mask_of(shard, run->tried[i]);
 	for (uint32_t i = 0; i < shard->count; i++)
-		usable |= may_take(&slots[i]) ? 1U << i : 0;
+		usable |= accepts_work(&slots[i]) ? 1U << i : 0;
 	if (usable & ~tried)
 		return tried;
 	return usable & ~last ? last : 0;
@@ -150,47 +150,49 @@
 	last = same ? FS_NONE :
 		      dsp_shard_index(run->shard, dsp_run_server(run));
 	for (uint32_t i = 0; i < run->shard->count; i++)
-		n += i != last && may_take(&slots[i]);
+		n += i != last && accepts_work(&slots[i]);
 	return n;
 }
 
-static uint32_t choose(const struct room *room, const struct dsp_run *run)
+static uint32_t choose_server(const struct capacity *capacity,
+			      const struct dsp_run *run)
 {
-	const struct slt_server *slots = room->slots[run->repeatable];
+	const struct slt_server *slots = capacity->slots[run->repeatable];
 
-	return slt_choose(slots, room->shard->count, room->shard->rotate,
-			  avoid_of(room->shard, run, slots));
+	return slt_choose(slots, capacity->shard->count,
+			  capacity->shard->rotate,
+			  servers_to_avoid(capacity->shard, run, slots));
 }
 
-static bool has_room(void *arg, const struct que_item *item)
+static bool has_capacity(void *arg, const struct que_item *item)
 {
-	return choose(arg, run_of(item)) != FS_NONE;
+	return choose_server(arg, run_of(item)) != FS_NONE;
 }
 
 void dsp_run_start_queued(struct dsp_shard *shard, int64_t now_us)
 {
-	struct room room = {.shard = shard};
+	struct capacity capacity = {.shard = shard};
 
-	drop_late(shard, now_us);
+	drop_expired(shard, now_us);
 	while (shard->que.count) {
 		struct que_item *item;
 		struct dsp_run *run;
 		uint32_t i;
 
-		dsp_shard_slots(shard, false, now_us, room.slots[0]);
-		dsp_shard_slots(shard, true, now_us, room.slots[1]);
-		item = que_first(&shard->que, has_room, &room);
+		dsp_shard_slots(shard, false, now_us, capacity.slots[0]);
+		dsp_shard_slots(shard, true, now_us, capacity.slots[1]);
+		item = que_first(&shard->que, has_capacity, &capacity);
 		if (!item)
 			return;
 		run = run_of(item);
 		if (slt_wait_too_long(
-			    slt_service_time(&dsp_route_of(run)->whole,
-					     run->allowed_us),
+			    slt_service_time(&dsp_route_of(run)->total_times,
+					     run->route_deadline_us),
 			    run->deadline_us - now_us)) {
 			dsp_run_reject(run, FS_E_WAIT_TOO_LONG, now_us);
 			continue;
 		}
-		i = choose(&room, run);
+		i = choose_server(&capacity, run);
 		shard->rotate = (i + 1) % shard->count;
 		que_remove(&shard->que, item);
 		dsp_exchange_begin(run, i, now_us);
--- a/src/dsp_seen.c
+++ b/src/dsp_seen.c
@@ -4,7 +4,7 @@
 	struct req_id id; /* first: the key of the hash table */
 	enum dsp_seen_state state;
 	enum fs_outcome outcome;
-	int64_t at_us;
+	int64_t added_us;
 	GList link;
 };
 
@@ -47,7 +47,7 @@
 	g_free(seen);
 }
 
-static void drop(struct dsp_seen *seen, struct seen_id *s)
+static void remove_id(struct dsp_seen *seen, struct seen_id *s)
 {
 	g_queue_unlink(&seen->order, &s->link);
 	g_hash_table_remove(seen->ids, s);
@@ -60,14 +60,14 @@
 	struct seen_id *s = g_hash_table_lookup(seen->ids, id);
 
 	if (s)
-		drop(seen, s);
+		remove_id(seen, s);
 	while (g_hash_table_size(seen->ids) >= seen->max)
-		drop(seen, seen->order.head->data);
+		remove_id(seen, seen->order.head->data);
 	s = g_new0(struct seen_id, 1);
 	s->id = *id;
 	s->state = state;
 	s->outcome = outcome;
-	s->at_us = now_us;
+	s->added_us = now_us;
 	s->link.data = s;
 	g_hash_table_add(seen->ids, s);
 	g_queue_push_tail_link(&seen->order, &s->link);
@@ -91,8 +91,8 @@
 	while (seen->order.head) {
 		struct seen_id *s = seen->order.head->data;
 
-		if (now_us - s->at_us < DSP_SEEN_TTL_US)
+		if (now_us - s->added_us < DSP_SEEN_TTL_US)
 			return;
-		drop(seen, s);
+		remove_id(seen, s);
 	}
 }
--- a/src/dsp_shard.c
+++ b/src/dsp_shard.c
@@ -17,7 +17,8 @@
 	if (!server) {
 		server = g_new0(struct dsp_server, 1);
 		server->name = g_strdup(name);
-		server->told = g_hash_table_contains(dsp->told, name);
+		server->reported_leaving =
+			g_hash_table_contains(dsp->reported_leaving, name);
 		g_hash_table_insert(dsp->servers, server->name, server);
 	}
 	server->refs++;
@@ -123,7 +124,7 @@
 
 	if (h != FS_NONE) {
 		shard = shard_new(dsp, h, now_us);
-		shard->hold = old->hold;
+		shard->slot_times = old->slot_times;
 		shard->rotate = old->rotate;
 		hlt_shard_copy_state(shard->hlt, dsp->cfg, old->hlt, old->cfg);
 		g_hash_table_insert(dsp->shards, shard->key, shard);
@@ -133,13 +134,13 @@
 	move_queue(old, shard);
 }
 
-static gboolean route_is_gone(void *key, void *value, void *arg)
+static gboolean route_is_removed(void *key, void *value, void *arg)
 {
 	(void)value;
 	return cfg_find_route(arg, key) == FS_NONE;
 }
 
-static gboolean service_is_gone(void *key, void *value, void *arg)
+static gboolean service_is_removed(void *key, void *value, void *arg)
 {
 	(void)value;
 	return cfg_find_service(arg, key) == FS_NONE;
@@ -167,9 +168,9 @@
 		dsp_shard_free(shard);
 	g_hash_table_unref(old);
 	shd_map_free(old_map);
-	g_hash_table_foreach_remove(dsp->routes, route_is_gone, cfg);
-	g_hash_table_foreach_remove(dsp->budgets, service_is_gone, cfg);
-	g_hash_table_foreach_remove(dsp->records, service_is_gone, cfg);
+	g_hash_table_foreach_remove(dsp->routes, route_is_removed, cfg);
+	g_hash_table_foreach_remove(dsp->budgets, service_is_removed, cfg);
+	g_hash_table_foreach_remove(dsp->records, service_is_removed, cfg);
 }
 
 uint32_t dsp_shard_index(const struct dsp_shard *shard,
@@ -185,7 +186,8 @@
 bool dsp_server_leaving(const struct dsp_shard *shard, uint32_t i)
 {
 	return shard->cfg->servers[shard->shard->servers[i]].leaving ||
-	       shard->servers[i]->told || shard->servers[i]->drained;
+	       shard->servers[i]->reported_leaving ||
+	       shard->servers[i]->signalled_draining;
 }
 
 void dsp_shard_slots(const struct dsp_shard *shard, bool repeatable,
--- a/src/dsp_stream.c
+++ b/src/dsp_stream.c
@@ -2,7 +2,7 @@
 
 void dsp_stream_begin(struct dsp_run *run, int64_t now_us)
 {
-	run->begun = true;
+	run->streaming = true;
 	run->credit = FS_ANSWER_WINDOW;
 	dsp_reply_answer(run, FS_ANSWERED, false, now_us);
 	dsp_count(run->dsp, "streams", run->m->request.service);
@@ -25,17 +25,18 @@
 	size_t waiting = tgt_buffered_bytes(run->tgt);
 
 	while (waiting && run->sent < run->credit) {
-		size_t room = (size_t)(run->credit - run->sent);
-		size_t size = MIN(MIN(waiting, room), DSP_STREAM_PIECE_BYTES);
+		size_t window_left = (size_t)(run->credit - run->sent);
+		size_t size =
+			MIN(MIN(waiting, window_left), DSP_STREAM_PIECE_BYTES);
 
 		waiting -= size;
-		send_piece(run, size, run->ended && !waiting);
-		if (run->ended && !waiting) {
+		send_piece(run, size, run->body_complete && !waiting);
+		if (run->body_complete && !waiting) {
 			dsp_run_end(run, FS_ANSWERED, now_us);
 			return;
 		}
 	}
-	if (run->ended && !waiting) {
+	if (run->body_complete && !waiting) {
 		send_piece(run, 0, true);
 		dsp_run_end(run, FS_ANSWERED, now_us);
 	}
@@ -43,14 +44,14 @@
 
 void dsp_stream_credit(struct dsp_run *run, uint32_t bytes, int64_t now_us)
 {
-	bool ended = run->ended;
+	bool complete = run->body_complete;
 
-	if (!run->begun)
+	if (!run->streaming)
 		return;
 	run->credit += bytes;
 	/* Credit never runs ahead of what was sent by more than the window. */
 	run->credit = MIN(run->credit, run->sent + FS_ANSWER_WINDOW);
 	dsp_stream_send(run, now_us);
-	if (!ended)
+	if (!complete)
 		tgt_resume(run->tgt);
 }
--- a/tests/unit_dsp.c
+++ b/tests/unit_dsp.c
@@ -3,15 +3,15 @@
 
 #include "fleet_dsp.h"
 
-static void silent(void *arg, struct fake_conn *conn,
-		   const struct fake_request *request)
+static void serve_nothing(void *arg, struct fake_conn *conn,
+			  const struct fake_request *request)
 {
 	(void)arg;
 	(void)conn;
 	(void)request;
 }
 
-static void test_answers_whole(void)
+static void test_answers_complete(void)
 {
 	struct scene s;
 	const struct msg *m;
@@ -52,8 +52,9 @@
 {
 	struct scene s;
 
-	scene_begin(&s, &(struct scene_setup){
-				.targets = 1, .slots = 1, .serve = silent});
+	scene_begin(&s, &(struct scene_setup){.targets = 1,
+					      .slots = 1,
+					      .serve = serve_nothing});
 	scene_send(&s, 1, "pay");
 	scene_send(&s, 2, "pay");
 	scene_wait_target(&s, 1);
@@ -74,7 +75,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/dsp/answers_whole", test_answers_whole);
+	g_test_add_func("/dsp/answers_whole", test_answers_complete);
 	g_test_add_func("/dsp/unknown_names_not_run",
 			test_unknown_names_not_run);
 	g_test_add_func("/dsp/cancel_waiting_is_not_run",
--- a/tests/unit_dsp_leave.c
+++ b/tests/unit_dsp_leave.c
@@ -15,7 +15,7 @@
 	fake_send_text(conn, text);
 }
 
-static uint32_t work_of(const struct fake *fake)
+static uint32_t count_requests(const struct fake *fake)
 {
 	const GPtrArray *all = fake_requests(fake);
 	uint32_t n = 0;
@@ -50,14 +50,14 @@
 	scene_send(&s, 3, "pay");
 	scene_wait(&s, 3);
 	scene_refused(&s, 3, FS_E_NO_TARGET, FS_NOT_RUN);
-	g_assert_cmpuint(work_of(s.fakes[0]), ==, 1);
+	g_assert_cmpuint(count_requests(s.fakes[0]), ==, 1);
 	scene_end(&s);
 	g_assert_true(dsp_drain_has_ended(true, 0));
 	g_assert_true(dsp_drain_has_ended(false, 30 * FS_US_PER_S));
 	g_assert_false(dsp_drain_has_ended(false, 29 * FS_US_PER_S));
 }
 
-static void test_told_leaving(void)
+static void test_leaving_by_vm_list(void)
 {
 	struct scene s;
 	struct msg *m;
@@ -152,7 +152,7 @@
 }
 
 /* A request that was not run frees its key. */
-static void test_key_of_one_not_run(void)
+static void test_key_freed_if_not_run(void)
 {
 	struct scene s;
 
@@ -228,7 +228,7 @@
 	scene_end(&s);
 }
 
-static void test_handover_is_taken(void)
+static void test_handover_is_applied(void)
 {
 	struct msg_key key = {.key = g_strdup("k"), .age_us = 5};
 	struct scene s;
@@ -251,12 +251,12 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/dsp/drain_signal", test_drain_signal);
-	g_test_add_func("/dsp/told_leaving", test_told_leaving);
+	g_test_add_func("/dsp/told_leaving", test_leaving_by_vm_list);
 	g_test_add_func("/dsp/in_flight_finishes", test_in_flight_finishes);
 	g_test_add_func("/dsp/service_leaving", test_service_leaving);
 	g_test_add_func("/dsp/keys", test_keys);
-	g_test_add_func("/dsp/key_of_one_not_run", test_key_of_one_not_run);
+	g_test_add_func("/dsp/key_of_one_not_run", test_key_freed_if_not_run);
 	g_test_add_func("/dsp/another_owner", test_another_owner);
-	g_test_add_func("/dsp/handover_is_taken", test_handover_is_taken);
+	g_test_add_func("/dsp/handover_is_taken", test_handover_is_applied);
 	return g_test_run();
 }
--- a/tests/unit_dsp_once.c
+++ b/tests/unit_dsp_once.c
@@ -3,8 +3,8 @@
 
 #include "fleet_dsp.h"
 
-static void serve_silent(void *arg, struct fake_conn *conn,
-			 const struct fake_request *request)
+static void serve_nothing(void *arg, struct fake_conn *conn,
+			  const struct fake_request *request)
 {
 	(void)arg;
 	(void)conn;
@@ -27,7 +27,7 @@
 	fake_send_text(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
 }
 
-static void test_unwritten_goes_elsewhere(void)
+static void test_unwritten_is_retried(void)
 {
 	struct scene s;
 
@@ -46,7 +46,7 @@
 	scene_end(&s);
 }
 
-static void test_written_is_never_sent_again(void)
+static void test_written_is_never_retried(void)
 {
 	struct scene s;
 
@@ -118,14 +118,14 @@
 
 /* The process is paused past the deadline of a waiting request, while the
  * slot it waits for becomes free. */
-static void test_pause_past_the_deadline(void)
+static void test_process_pause_past_deadline(void)
 {
 	struct scene s;
 
 	scene_begin(&s, &(struct scene_setup){.targets = 1,
 					      .slots = 1,
 					      .deadline_ms = 200,
-					      .serve = serve_silent});
+					      .serve = serve_nothing});
 	scene_send(&s, 1, "pay");
 	scene_send(&s, 2, "pay");
 	scene_wait_target(&s, 1);
@@ -151,7 +151,7 @@
 			10 * FS_US_PER_MS);
 }
 
-static void test_slots_are_kept(void)
+static void test_slot_limit(void)
 {
 	struct scene s;
 	uint32_t most = 0;
@@ -176,7 +176,7 @@
 	scene_begin(&s, &(struct scene_setup){.targets = 1,
 					      .slots = 1,
 					      .queue = 2,
-					      .serve = serve_silent});
+					      .serve = serve_nothing});
 	scene_send(&s, 1, "pay");
 	scene_wait_target(&s, 1);
 	scene_send(&s, 2, "export");
@@ -203,16 +203,16 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/dsp/unwritten_goes_elsewhere",
-			test_unwritten_goes_elsewhere);
+			test_unwritten_is_retried);
 	g_test_add_func("/dsp/written_is_never_sent_again",
-			test_written_is_never_sent_again);
+			test_written_is_never_retried);
 	g_test_add_func("/dsp/target_refusal", test_target_refusal);
 	g_test_add_func("/dsp/duplicates_are_dropped",
 			test_duplicates_are_dropped);
 	g_test_add_func("/dsp/cancel_of_unknown", test_cancel_of_unknown);
 	g_test_add_func("/dsp/pause_past_the_deadline",
-			test_pause_past_the_deadline);
-	g_test_add_func("/dsp/slots_are_kept", test_slots_are_kept);
+			test_process_pause_past_deadline);
+	g_test_add_func("/dsp/slots_are_kept", test_slot_limit);
 	g_test_add_func("/dsp/full_queue_sheds_lower_priority",
 			test_full_queue_sheds_lower_priority);
 	return g_test_run();
--- a/tests/unit_dsp_retry.c
+++ b/tests/unit_dsp_retry.c
@@ -5,8 +5,8 @@
 
 /** How many of the first requests go wrong, over all targets. */
 struct plan {
-	uint32_t bad;
-	uint32_t seen;
+	uint32_t failures;
+	uint32_t requests;
 };
 
 static void serve_reset(void *arg, struct fake_conn *conn,
@@ -15,7 +15,7 @@
 	struct plan *plan = arg;
 
 	(void)request;
-	if (plan->seen++ < plan->bad)
+	if (plan->requests++ < plan->failures)
 		fake_close(conn, true);
 	else
 		fake_ok(conn, "ok");
@@ -27,7 +27,7 @@
 	struct plan *plan = arg;
 
 	(void)request;
-	if (plan->seen++ < plan->bad) {
+	if (plan->requests++ < plan->failures) {
 		fake_send_text(conn,
 			       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\no");
 		fake_close_after(conn);
@@ -42,16 +42,16 @@
 	struct plan *plan = arg;
 
 	(void)request;
-	if (plan->seen++ < plan->bad)
+	if (plan->requests++ < plan->failures)
 		fake_send_text(conn, "HTTP/1.1 500 Error\r\n"
 				     "Content-Length: 0\r\n\r\n");
 	else
 		fake_ok(conn, "ok");
 }
 
-static void test_tried_elsewhere(gconstpointer data)
+static void test_retry_on_other_server(gconstpointer data)
 {
-	struct plan plan = {.bad = 1};
+	struct plan plan = {.failures = 1};
 	struct scene s;
 
 	scene_begin(&s, &(struct scene_setup){.serve = (fake_serve_fn)data,
@@ -65,9 +65,9 @@
 	scene_end(&s);
 }
 
-static void test_tries_are_bounded(void)
+static void test_attempts_are_bounded(void)
 {
-	struct plan plan = {.bad = 1000};
+	struct plan plan = {.failures = 1000};
 	struct scene s;
 
 	scene_begin(&s, &(struct scene_setup){.targets = 4,
@@ -82,13 +82,13 @@
 	scene_end(&s);
 }
 
-static void test_budget_bounds_a_storm(void)
+static void test_budget_bounds_retry_storm(void)
 {
-	struct plan plan = {.bad = 1000};
+	struct plan plan = {.failures = 1000};
 	struct scene s;
 	uint32_t n = 60;
 	int64_t began_us = fs_now_us();
-	int64_t s_passed;
+	int64_t elapsed_s;
 
 	scene_begin(&s, &(struct scene_setup){.targets = 4,
 					      .slots = 6,
@@ -98,8 +98,8 @@
 	for (uint64_t i = 1; i <= n; i++)
 		scene_send(&s, i, "list");
 	scene_wait(&s, n);
-	s_passed = (fs_now_us() - began_us) / FS_US_PER_S + 1;
-	g_assert_cmpint(scene_received(&s), <=, n + 10 + n / 10 + s_passed);
+	elapsed_s = (fs_now_us() - began_us) / FS_US_PER_S + 1;
+	g_assert_cmpint(scene_received(&s), <=, n + 10 + n / 10 + elapsed_s);
 	scene_end(&s);
 }
 
@@ -112,7 +112,7 @@
 		fake_ok(conn, "ok");
 }
 
-static void test_silent_connection(void)
+static void test_stalled_connection(void)
 {
 	struct scene s;
 	int64_t began_us;
@@ -136,14 +136,14 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_data_func("/dsp/tried_elsewhere/reset", serve_reset,
-			     test_tried_elsewhere);
+			     test_retry_on_other_server);
 	g_test_add_data_func("/dsp/tried_elsewhere/truncated", serve_truncated,
-			     test_tried_elsewhere);
+			     test_retry_on_other_server);
 	g_test_add_data_func("/dsp/tried_elsewhere/error", serve_error,
-			     test_tried_elsewhere);
-	g_test_add_func("/dsp/tries_are_bounded", test_tries_are_bounded);
+			     test_retry_on_other_server);
+	g_test_add_func("/dsp/tries_are_bounded", test_attempts_are_bounded);
 	g_test_add_func("/dsp/budget_bounds_a_storm",
-			test_budget_bounds_a_storm);
-	g_test_add_func("/dsp/silent_connection", test_silent_connection);
+			test_budget_bounds_retry_storm);
+	g_test_add_func("/dsp/silent_connection", test_stalled_connection);
 	return g_test_run();
 }
--- a/tests/unit_dsp_stream.c
+++ b/tests/unit_dsp_stream.c
@@ -3,14 +3,14 @@
 
 #include "fleet_dsp.h"
 
-#define SIZE (1024U * 1024)
+#define ANSWER_BYTES (1024U * 1024)
 
 static uint8_t byte_at(uint64_t i)
 {
 	return (uint8_t)(i * 131 ^ (i >> 8));
 }
 
-/** What a target sends of its announced SIZE bytes. */
+/** What a target sends of its announced ANSWER_BYTES bytes. */
 struct plan {
 	uint32_t bytes;
 	bool close;
@@ -22,7 +22,7 @@
 	const struct plan *plan = arg;
 	uint8_t *body = g_malloc(plan->bytes);
 	g_autofree char *head = g_strdup_printf(
-		"HTTP/1.1 200 OK\r\nContent-Length: %u\r\n\r\n", SIZE);
+		"HTTP/1.1 200 OK\r\nContent-Length: %u\r\n\r\n", ANSWER_BYTES);
 
 	(void)request;
 	for (uint32_t i = 0; i < plan->bytes; i++)
@@ -60,11 +60,11 @@
 	return at;
 }
 
-static void test_whole_within_the_window(void)
+static void test_complete_within_window(void)
 {
-	struct plan plan = {.bytes = SIZE};
+	struct plan plan = {.bytes = ANSWER_BYTES};
 	struct scene s;
-	uint64_t taken = 0;
+	uint64_t consumed = 0;
 	uint64_t sent = 0;
 	bool last = false;
 
@@ -73,21 +73,21 @@
 	for (int i = 0; i < 100 && !last; i++) {
 		scene_run(&s, 20 * FS_US_PER_MS);
 		sent = check_pieces(&s, &last);
-		g_assert_cmpuint(sent - taken, <=, FS_ANSWER_WINDOW);
-		scene_credit(&s, 1, (uint32_t)(sent - taken));
-		taken = sent;
+		g_assert_cmpuint(sent - consumed, <=, FS_ANSWER_WINDOW);
+		scene_credit(&s, 1, (uint32_t)(sent - consumed));
+		consumed = sent;
 	}
 	g_assert_true(last);
-	g_assert_cmpuint(sent, ==, SIZE);
+	g_assert_cmpuint(sent, ==, ANSWER_BYTES);
 	g_assert_cmpint(((struct msg *)s.replies->pdata[0])->answer.length, ==,
-			SIZE);
+			ANSWER_BYTES);
 	g_assert_cmpuint(scene_in_flight(&s), ==, 0);
 	scene_end(&s);
 }
 
-static void test_cut_is_told(void)
+static void test_truncation_is_refused(void)
 {
-	struct plan plan = {.bytes = SIZE / 5, .close = true};
+	struct plan plan = {.bytes = ANSWER_BYTES / 5, .close = true};
 	struct scene s;
 	bool last = false;
 
@@ -101,9 +101,9 @@
 	scene_end(&s);
 }
 
-static void test_cancel_frees_the_slot(void)
+static void test_cancel_frees_slot(void)
 {
-	struct plan plan = {.bytes = SIZE};
+	struct plan plan = {.bytes = ANSWER_BYTES};
 	struct scene s;
 
 	scene_begin(&s, &(struct scene_setup){.serve = serve, .arg = &plan});
@@ -122,9 +122,9 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/dsp/stream/whole_within_the_window",
-			test_whole_within_the_window);
-	g_test_add_func("/dsp/stream/cut_is_told", test_cut_is_told);
+			test_complete_within_window);
+	g_test_add_func("/dsp/stream/cut_is_told", test_truncation_is_refused);
 	g_test_add_func("/dsp/stream/cancel_frees_the_slot",
-			test_cancel_frees_the_slot);
+			test_cancel_frees_slot);
 	return g_test_run();
 }
