--- a/src/dsp.c
+++ b/src/dsp.c
@@ -30,7 +30,7 @@
 	dsp_run_refuse(run, FS_E_TRUNCATED, FS_UNKNOWN, 0, now_us);
 }
 
-/* A caller that does not read holds its stream past the deadline. */
+/* Refuses streams whose caller still does not read past the deadline. */
 static void drop_stalled(struct dsp *dsp, int64_t now_us)
 {
 	g_autoptr(GPtrArray) late = g_ptr_array_new();
--- a/src/dsp_admit.c
+++ b/src/dsp_admit.c
@@ -71,8 +71,8 @@
 	dsp_reply_refusal(dsp, m->from, &request->id, &refusal);
 }
 
-/* Another live node that this one hears goes first, unless the entry could
- * not reach it. */
+/* Another owner is preferred if it is alive and directly reachable from this
+ * node. The entry sets `forced` if it could not reach that owner. */
 static bool has_other_owner(const struct dsp *dsp,
 			    const struct dsp_shard *shard,
 			    const struct msg_request *request)
@@ -157,7 +157,7 @@
 	return err == FS_E_NO_MEMORY ? FS_E_ENTRY_FULL : err;
 }
 
-/* Makes room in a full queue at the cost of a lower priority. */
+/* Evicts a request of lower priority from a full queue. */
 static int shed(struct dsp_run *run, int64_t now_us)
 {
 	struct que_item *item =
--- a/src/dsp_audit.c
+++ b/src/dsp_audit.c
@@ -1,6 +1,6 @@
 #include "dsp_impl.h"
 
-/* Which rule stands behind a refusal. */
+/* Returns the rule that caused a refusal. */
 static enum aud_rule rule_of(int err, bool written)
 {
 	switch (err) {
@@ -65,8 +65,8 @@
 	}
 }
 
-/* Records name only what the text of their version has: the entry, or an
- * earlier try, may have gone by another one. */
+/* Names are written only if the configuration of the record's version has
+ * them: the entry or an earlier attempt may have used another version. */
 static void fill(struct aud_record *rec, const struct cfg *cfg,
 		 const struct msg_request *request)
 {
--- a/src/dsp_cancel.c
+++ b/src/dsp_cancel.c
@@ -1,6 +1,6 @@
 #include "dsp_impl.h"
 
-/* A request that never came, or that has ended; see dsp_seen.h. */
+/* The request has not arrived or has ended; see dsp_seen.h. */
 static void cancel_unknown(struct dsp *dsp, const struct msg *m, int64_t now_us)
 {
 	const struct req_id *id = &m->cancel.id;
@@ -56,8 +56,8 @@
 	return runs;
 }
 
-/* The entry may have lost pieces; whatever still runs without having begun
- * its answer goes on, since the entry may wait for it on a new link. */
+/* Pieces of a stream may have been lost. A run that has not started its answer
+ * continues, since the entry may wait for it on a new link. */
 static bool is_stream(const struct dsp_run *run, node_id node)
 {
 	return run->from == node && run->streaming;
--- a/src/dsp_drain.c
+++ b/src/dsp_drain.c
@@ -1,21 +1,21 @@
-/* A target that says "Draining: 1" in an answer takes no new work from then
- * on. It is asked by its probe path whether that still holds. Such answers can
- * lag, so it is used again only if it has refused a connection in between,
- * which shows that it was replaced or started again under its name, or if it
- * has answered without that field for DRAIN_CLEAR_US. Without a probe path,
- * accepting a connection counts as an answer. */
+/* A target that sends "Draining: 1" in an answer gets no new requests. Its
+ * probe path is polled for the end of draining. Probe answers can be stale, so
+ * the target is used again only if it has refused a connection since, which
+ * shows a replacement or restart under the same name, or if it has answered
+ * without that field for DRAIN_CLEAR_US. Without a probe path, an accepted
+ * connection counts as an answer. */
 #include <string.h>
 
 #include "dsp_impl.h"
 
-#define DRAIN_CHECK_INTERVAL_US 2000000LL /* between two checks */
-#define DRAIN_CLEAR_US 30000000LL /* without the signal, and then used */
-#define DRAIN_TIMEOUT_MS 1000L	  /* of one check */
+#define DRAIN_CHECK_INTERVAL_US 2000000LL /* between checks */
+#define DRAIN_CLEAR_US 30000000LL	  /* without the signal before reuse */
+#define DRAIN_TIMEOUT_MS 1000L		  /* of one check */
 
 struct dsp_drain {
 	struct crl *crl;
-	CURL *easy;   /* NULL: no check runs */
-	bool by_http; /* by HTTP, not by a connection alone */
+	CURL *easy;   /* NULL: no check in progress */
+	bool by_http; /* by HTTP, not only by connecting */
 	bool has_headers;
 	bool draining;
 	bool refused; /* it has refused a connection since */
--- a/src/dsp_exchange.c
+++ b/src/dsp_exchange.c
@@ -38,7 +38,7 @@
 	}
 }
 
-/* Frees the slot and tells the judge. */
+/* Frees the slot and reports the result to the outlier detector. */
 static void release_slot(struct dsp_run *run, const struct hlt_end *end,
 			 int64_t now_us)
 {
@@ -89,7 +89,7 @@
 	return rty_allowed(n);
 }
 
-/* Decides on another try, spends from the budget and records it. */
+/* Decides on a retry, charges it to the budget and records the decision. */
 static bool decide_retry(struct dsp_run *run, bool written, bool same,
 			 int64_t now_us)
 {
@@ -120,7 +120,7 @@
 	slt_times_add(&route->headers_times, end->took_us);
 }
 
-/* A whole answer: passed on, unless another try may do better. */
+/* Forwards a complete answer, unless a retry is allowed after a failure. */
 static void handle_answer(struct dsp_run *run, const struct tgt_result *end,
 			  int64_t now_us)
 {
@@ -143,7 +143,7 @@
 		dsp_run_requeue(run, FS_E_TARGET_REFUSED, now_us);
 		return;
 	}
-	/* An earlier try may have run all the same. */
+	/* An earlier attempt may still have been run. */
 	if (not_run && !run->written)
 		outcome = FS_NOT_RUN;
 	dsp_reply_answer(run, outcome, true, now_us);
@@ -211,7 +211,7 @@
 	dsp_stream_send(arg, fs_now_us());
 }
 
-/* Gives a silent try up only if another one may follow. */
+/* Returns whether to abandon the attempt: only if a retry is allowed. */
 static bool on_headers_overdue(void *arg, struct tgt *tgt)
 {
 	struct dsp_run *run = arg;
@@ -228,7 +228,7 @@
 	.done = on_done,
 };
 
-/* When the header fields should be here, so that another try has time. */
+/* Deadline for the header fields that leaves time for a retry. */
 static int64_t headers_deadline(const struct dsp_run *run, int64_t now_us)
 {
 	const struct slt_times *times = &dsp_route_of(run)->headers_times;
--- a/src/dsp_handover.c
+++ b/src/dsp_handover.c
@@ -1,15 +1,15 @@
 #include "dsp_impl.h"
 
-#define HANDOVER_KEYS_MAX 4096 /* of one message, far below FS_FRAME_MAX */
+#define HANDOVER_KEYS_MAX 4096 /* per message, far below FS_FRAME_MAX */
 
-/** Messages being put together, one per shard. */
+/** Messages under construction, one per shard. */
 struct handover {
 	struct dsp *dsp;
 	GHashTable *messages; /* shard handle to struct msg; NULL: not needed */
 	int64_t now_us;
 };
 
-/* The node that dispatches a shard in place of this one, or 0. */
+/* Returns the node that dispatches a shard instead of this one, or 0. */
 static node_id other_owner(const struct dsp *dsp, const struct shd_shard *shard)
 {
 	node_id id = shd_owner(shard, dsp->view, 0);
@@ -26,7 +26,7 @@
 			       shard->index);
 }
 
-/* Notes who owns a shard; returns whether that node needs its keys now. */
+/* Stores the owner of a shard; returns whether the keys must be sent to it. */
 static bool update_owner(struct dsp *dsp, const struct shd_shard *shard,
 			 node_id owner)
 {
--- a/src/dsp_judge.c
+++ b/src/dsp_judge.c
@@ -42,7 +42,7 @@
 		apply(shard, &m->record, now_us);
 }
 
-/* Keeps the record for shard objects that are made later. */
+/* Stores the record for shard objects that are created later. */
 void dsp_health_record(struct dsp *dsp, struct msg *m, int64_t now_us)
 {
 	struct msg *stored = msg_new(MSG_RECORD, m->to, m->task);
@@ -81,7 +81,7 @@
 	}
 }
 
-/* By the service's record, most of its servers in this region are out. */
+/* By the service's record, over half of its servers in the region are ejected. */
 static bool is_mostly_ejected(const struct dsp *dsp, handle service)
 {
 	const struct msg *m = g_hash_table_lookup(
--- a/src/dsp_owner.c
+++ b/src/dsp_owner.c
@@ -1,5 +1,5 @@
-/* Records which shards of its region this node dispatches. Looking at all of
- * them takes a hash per shard and member, so it is done at most once in
+/* Records which shards of its region this node dispatches. A check of all
+ * shards costs a hash per shard and member, so it is made at most once in
  * OWNER_CHECK_INTERVAL_US. */
 #include <stdio.h>
 
--- a/src/dsp_run.c
+++ b/src/dsp_run.c
@@ -1,6 +1,6 @@
 #include "dsp_impl.h"
 
-/* Which servers have capacity, for both classes of requests. */
+/* Server capacity for non-repeatable [0] and repeatable [1] requests. */
 struct capacity {
 	struct dsp_shard *shard;
 	struct slt_server slots[2][FS_SHARD_SERVERS_MAX];
@@ -63,7 +63,7 @@
 	dsp_run_end(run, outcome, now_us);
 }
 
-/* An error that leaves the outcome unknown goes before one that does not. */
+/* An error that leaves the outcome unknown takes precedence. */
 void dsp_run_reject(struct dsp_run *run, int err, int64_t now_us)
 {
 	struct slt_inputs n;
@@ -88,7 +88,7 @@
 	dsp_run_reject(run, err, now_us);
 }
 
-/* Nothing that cannot be answered in time may take a slot. */
+/* Requests past their deadline must not occupy a slot. */
 static void drop_expired(struct dsp_shard *shard, int64_t now_us)
 {
 	for (int p = 0; p < CFG_PRIORITY_COUNT; p++) {
@@ -118,8 +118,8 @@
 	return !server->leaving && server->allowed > 0;
 }
 
-/* Servers to pass over: those tried, or only the last one once all were, or
- * none if there is no other. */
+/* Servers to skip: those tried, or only the last one if all usable servers
+ * were tried, or none if the last one is the only usable server. */
 static uint32_t servers_to_avoid(const struct dsp_shard *shard,
 				 const struct dsp_run *run,
 				 const struct slt_server *slots)
--- a/src/dsp_shard.c
+++ b/src/dsp_shard.c
@@ -83,7 +83,7 @@
 	return shard;
 }
 
-/* Exchanges in progress report to the new object from now on. */
+/* Exchanges in progress report to the new object from here on. */
 static void move_runs(struct dsp *dsp, struct dsp_shard *from,
 		      struct dsp_shard *to, GPtrArray *orphans)
 {
--- a/src/dsp_stream.c
+++ b/src/dsp_stream.c
@@ -49,7 +49,7 @@
 	if (!run->streaming)
 		return;
 	run->credit += bytes;
-	/* Credit never runs ahead of what was sent by more than the window. */
+	/* Unused credit is at most the window. */
 	run->credit = MIN(run->credit, run->sent + FS_ANSWER_WINDOW);
 	dsp_stream_send(run, now_us);
 	if (!complete)
--- a/tests/unit_dsp.c
+++ b/tests/unit_dsp.c
@@ -1,4 +1,4 @@
-/* The dispatch task: outcomes that are true, cancels, keys, leaving. */
+/* The dispatch task: answers, reported outcomes and cancels. */
 #include <string.h>
 
 #include "fleet_dsp.h"
@@ -61,7 +61,7 @@
 	scene_cancel(&s, 2);
 	scene_wait(&s, 1);
 	scene_refused(&s, 2, FS_E_CANCELLED, FS_NOT_RUN);
-	/* The one that runs was written: unknown, and its slot is free. */
+	/* The running request was written: unknown outcome, and its slot is freed. */
 	scene_cancel(&s, 1);
 	scene_wait(&s, 2);
 	scene_refused(&s, 1, FS_E_CANCELLED, FS_UNKNOWN);
@@ -75,7 +75,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/dsp/answers_whole", test_answers_complete);
+	g_test_add_func("/dsp/answers_complete", test_answers_complete);
 	g_test_add_func("/dsp/unknown_names_not_run",
 			test_unknown_names_not_run);
 	g_test_add_func("/dsp/cancel_waiting_is_not_run",
--- a/tests/unit_dsp_leave.c
+++ b/tests/unit_dsp_leave.c
@@ -1,4 +1,4 @@
-/* Leaving targets, planned stops, owners, and keys that move with them. */
+/* Leaving targets, planned stops, and idempotency keys that follow the owner. */
 #include <string.h>
 
 #include "fleet_dsp.h"
@@ -46,7 +46,7 @@
 	scene_refused(&s, 2, FS_E_NO_TARGET, FS_NOT_RUN);
 	draining = false;
 	scene_run(&s, 2500 * FS_US_PER_MS);
-	/* A probe that lags is no reason to send work again. */
+	/* A stale probe answer must not make the target usable. */
 	scene_send(&s, 3, "pay");
 	scene_wait(&s, 3);
 	scene_refused(&s, 3, FS_E_NO_TARGET, FS_NOT_RUN);
@@ -84,7 +84,7 @@
 			300 * FS_US_PER_MS);
 }
 
-/* A new text and a planned stop cut nothing off. */
+/* A new configuration and a planned stop interrupt no request. */
 static void test_in_flight_finishes(void)
 {
 	struct scene s;
@@ -151,7 +151,7 @@
 	scene_end(&s);
 }
 
-/* A request that was not run frees its key. */
+/* The key of a request that was not run can be used again. */
 static void test_key_freed_if_not_run(void)
 {
 	struct scene s;
@@ -178,8 +178,8 @@
 	msg_free(m);
 }
 
-/* Tells the dispatcher of another node, which is the owner of all shards if
- * this one leaves. */
+/* Sends the dispatcher a view with another node, which owns all shards if this
+ * one leaves. */
 static void send_view(struct scene *s, node_id other, enum mem_state self)
 {
 	node_id ids[2] = {MIN(other, s->node.self), MAX(other, s->node.self)};
@@ -221,7 +221,7 @@
 	g_assert_cmpint(m->type, ==, MSG_HANDOVER);
 	g_assert_cmpuint(m->to, ==, other);
 	g_assert_cmpuint(m->handover.keys->len, ==, 1);
-	/* The same view again sends nothing more. */
+	/* The same view again causes no further handover. */
 	send_view(&s, other, MEM_LEAVING);
 	scene_run(&s, 50 * FS_US_PER_MS);
 	g_assert_cmpuint(remote->len, ==, 1);
@@ -251,12 +251,12 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/dsp/drain_signal", test_drain_signal);
-	g_test_add_func("/dsp/told_leaving", test_leaving_by_vm_list);
+	g_test_add_func("/dsp/leaving_by_vm_list", test_leaving_by_vm_list);
 	g_test_add_func("/dsp/in_flight_finishes", test_in_flight_finishes);
 	g_test_add_func("/dsp/service_leaving", test_service_leaving);
 	g_test_add_func("/dsp/keys", test_keys);
-	g_test_add_func("/dsp/key_of_one_not_run", test_key_freed_if_not_run);
+	g_test_add_func("/dsp/key_freed_if_not_run", test_key_freed_if_not_run);
 	g_test_add_func("/dsp/another_owner", test_another_owner);
-	g_test_add_func("/dsp/handover_is_taken", test_handover_is_applied);
+	g_test_add_func("/dsp/handover_is_applied", test_handover_is_applied);
 	return g_test_run();
 }
--- a/tests/unit_dsp_once.c
+++ b/tests/unit_dsp_once.c
@@ -1,4 +1,4 @@
-/* At most once, and refusals that are true. */
+/* At-most-once execution, and outcomes reported in refusals. */
 #include <string.h>
 
 #include "fleet_dsp.h"
@@ -93,8 +93,8 @@
 	scene_end(&s);
 }
 
-/* A cancel that overtakes its request withdraws it for good; what it did
- * before cannot be known. */
+/* A cancel that arrives before its request cancels it for good. The outcome of
+ * an earlier execution is unknown. */
 static void test_cancel_of_unknown(void)
 {
 	struct scene s;
@@ -116,8 +116,8 @@
 	scene_end(&s);
 }
 
-/* The process is paused past the deadline of a waiting request, while the
- * slot it waits for becomes free. */
+/* Guards against running an expired request: the process is paused past the
+ * deadline of a queued request while the slot it waits for becomes free. */
 static void test_process_pause_past_deadline(void)
 {
 	struct scene s;
@@ -138,8 +138,8 @@
 	scene_end(&s);
 }
 
-/* Highest number of connections open at once over all targets; each request
- * that may not be repeated has its own. */
+/* Tracks the most connections open at once at any target; each non-repeatable
+ * request has its own connection. */
 static void serve_slowly(void *arg, struct fake_conn *conn,
 			 const struct fake_request *request)
 {
@@ -202,17 +202,16 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/dsp/unwritten_goes_elsewhere",
-			test_unwritten_is_retried);
-	g_test_add_func("/dsp/written_is_never_sent_again",
+	g_test_add_func("/dsp/unwritten_is_retried", test_unwritten_is_retried);
+	g_test_add_func("/dsp/written_is_never_retried",
 			test_written_is_never_retried);
 	g_test_add_func("/dsp/target_refusal", test_target_refusal);
 	g_test_add_func("/dsp/duplicates_are_dropped",
 			test_duplicates_are_dropped);
 	g_test_add_func("/dsp/cancel_of_unknown", test_cancel_of_unknown);
-	g_test_add_func("/dsp/pause_past_the_deadline",
+	g_test_add_func("/dsp/process_pause_past_deadline",
 			test_process_pause_past_deadline);
-	g_test_add_func("/dsp/slots_are_kept", test_slot_limit);
+	g_test_add_func("/dsp/slot_limit", test_slot_limit);
 	g_test_add_func("/dsp/full_queue_sheds_lower_priority",
 			test_full_queue_sheds_lower_priority);
 	return g_test_run();
--- a/tests/unit_dsp_retry.c
+++ b/tests/unit_dsp_retry.c
@@ -1,9 +1,9 @@
-/* Repeatable requests: other servers, within tries, budget and deadline. */
+/* Retries of repeatable requests: limits of attempts, budget and deadline. */
 #include <string.h>
 
 #include "fleet_dsp.h"
 
-/** How many of the first requests go wrong, over all targets. */
+/** Number of first requests that fail, over all targets. */
 struct plan {
 	uint32_t failures;
 	uint32_t requests;
@@ -103,7 +103,7 @@
 	scene_end(&s);
 }
 
-/* Every kept connection falls silent, new ones work. */
+/* Reused connections give no answer; new ones work. */
 static void serve_first_only(void *arg, struct fake_conn *conn,
 			     const struct fake_request *request)
 {
@@ -135,15 +135,15 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_data_func("/dsp/tried_elsewhere/reset", serve_reset,
+	g_test_add_data_func("/dsp/retry_on_other_server/reset", serve_reset,
 			     test_retry_on_other_server);
-	g_test_add_data_func("/dsp/tried_elsewhere/truncated", serve_truncated,
+	g_test_add_data_func("/dsp/retry_on_other_server/truncated",
+			     serve_truncated, test_retry_on_other_server);
+	g_test_add_data_func("/dsp/retry_on_other_server/error", serve_error,
 			     test_retry_on_other_server);
-	g_test_add_data_func("/dsp/tried_elsewhere/error", serve_error,
-			     test_retry_on_other_server);
-	g_test_add_func("/dsp/tries_are_bounded", test_attempts_are_bounded);
-	g_test_add_func("/dsp/budget_bounds_a_storm",
+	g_test_add_func("/dsp/attempts_are_bounded", test_attempts_are_bounded);
+	g_test_add_func("/dsp/budget_bounds_retry_storm",
 			test_budget_bounds_retry_storm);
-	g_test_add_func("/dsp/silent_connection", test_stalled_connection);
+	g_test_add_func("/dsp/stalled_connection", test_stalled_connection);
 	return g_test_run();
 }
--- a/tests/unit_dsp_stream.c
+++ b/tests/unit_dsp_stream.c
@@ -1,4 +1,4 @@
-/* Long answers: whole or cut visibly, within the window. */
+/* Streamed answers: complete, or refused as truncated; within the window. */
 #include <string.h>
 
 #include "fleet_dsp.h"
@@ -10,7 +10,7 @@
 	return (uint8_t)(i * 131 ^ (i >> 8));
 }
 
-/** What a target sends of its announced ANSWER_BYTES bytes. */
+/** Bytes that a target sends of its announced ANSWER_BYTES. */
 struct plan {
 	uint32_t bytes;
 	bool close;
@@ -34,7 +34,7 @@
 		fake_close_after(conn);
 }
 
-/* Checks the order and content of the pieces; returns their bytes. */
+/* Checks the order and content of the pieces; returns their total bytes. */
 static uint64_t check_pieces(const struct scene *s, bool *last)
 {
 	uint64_t at = 0;
@@ -121,10 +121,11 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/dsp/stream/whole_within_the_window",
+	g_test_add_func("/dsp/stream/complete_within_window",
 			test_complete_within_window);
-	g_test_add_func("/dsp/stream/cut_is_told", test_truncation_is_refused);
-	g_test_add_func("/dsp/stream/cancel_frees_the_slot",
+	g_test_add_func("/dsp/stream/truncation_is_refused",
+			test_truncation_is_refused);
+	g_test_add_func("/dsp/stream/cancel_frees_slot",
 			test_cancel_frees_slot);
 	return g_test_run();
 }
