--- a/src/dsp_impl.h
+++ b/src/dsp_impl.h
@@ -180,7 +180,7 @@
 		    int64_t retry_after_us, int64_t now_us);
 /** Refuses a queued run and records that; the error of an attempt that was
  *  written takes precedence over @p err. */
-void dsp_run_reject(struct dsp_run *run, int err, int64_t now_us);
+void dsp_run_refuse_queued(struct dsp_run *run, int err, int64_t now_us);
 /** Returns the outcome of a run that ends without an answer. */
 enum fs_outcome dsp_run_outcome(const struct dsp_run *run);
 
--- a/src/dsp_run.c
+++ b/src/dsp_run.c
@@ -64,7 +64,7 @@
 }
 
 /* An error that leaves the outcome unknown takes precedence. */
-void dsp_run_reject(struct dsp_run *run, int err, int64_t now_us)
+void dsp_run_refuse_queued(struct dsp_run *run, int err, int64_t now_us)
 {
 	struct slt_inputs n;
 
@@ -85,7 +85,7 @@
 		que_push_front(&shard->que, &run->item, run->priority);
 		return;
 	}
-	dsp_run_reject(run, err, now_us);
+	dsp_run_refuse_queued(run, err, now_us);
 }
 
 /* Requests past their deadline must not occupy a slot. */
@@ -99,8 +99,8 @@
 
 			next = l->next;
 			if (run->deadline_us <= now_us)
-				dsp_run_reject(run, FS_E_DEADLINE_QUEUED,
-					       now_us);
+				dsp_run_refuse_queued(run, FS_E_DEADLINE_QUEUED,
+						      now_us);
 		}
 	}
 }
@@ -189,7 +189,7 @@
 			    slt_service_time(&dsp_route_of(run)->total_times,
 					     run->route_deadline_us),
 			    run->deadline_us - now_us)) {
-			dsp_run_reject(run, FS_E_WAIT_TOO_LONG, now_us);
+			dsp_run_refuse_queued(run, FS_E_WAIT_TOO_LONG, now_us);
 			continue;
 		}
 		i = choose_server(&capacity, run);
--- a/src/dsp_shard.c
+++ b/src/dsp_shard.c
@@ -162,7 +162,8 @@
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard))
 		rebuild_one(dsp, shard, orphans, now_us);
 	for (guint i = 0; i < orphans->len; i++)
-		dsp_run_reject(orphans->pdata[i], FS_E_NOT_OWNER, now_us);
+		dsp_run_refuse_queued(orphans->pdata[i], FS_E_NOT_OWNER,
+				      now_us);
 	g_hash_table_iter_init(&iter, old);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard))
 		dsp_shard_free(shard);
