--- a/src/dsp_impl.h
+++ b/src/dsp_impl.h
@@ -25,8 +25,8 @@
 #define DSP_TICK_US 100000LL	   /* between checks of all shards */
 #define DSP_STOP_IDLE_US 500000LL  /* idle time before MSG_STOPPED */
 #define DSP_CONNECT_ATTEMPTS_MAX 3 /* connections per unwritten request */
-#define DSP_HEADERS_TIMEOUT_MIN_US 500000LL /* until the first byte */
-#define DSP_HEADERS_TIMEOUT_FACTOR 4	    /* of the slow answers' time */
+#define DSP_HEADERS_TIMEOUT_MIN_US 500000LL /* for the first byte */
+#define DSP_HEADERS_TIMEOUT_FACTOR 4	    /* times slow answers */
 #define DSP_HEADERS_TIMEOUT_PERMILLE 990    /* quantile of slow answers */
 #define DSP_STREAM_PIECE_BYTES 32768U	    /* most bytes in one MSG_PIECE */
 #define DSP_ATTEMPTS_MAX 8		    /* servers tried per request */
@@ -69,7 +69,7 @@
 	enum cfg_priority priority;
 	int64_t accepted_us;
 	int64_t deadline_us;
-	int64_t route_deadline_us; /* a duration */
+	int64_t route_deadline_us; /* relative */
 	bool repeatable;
 	bool holds_key; /* its idempotency key is reserved */
 	uint32_t tries_max;
--- a/src/dsp_seen.h
+++ b/src/dsp_seen.h
@@ -11,7 +11,8 @@
  * These cases cannot be distinguished, not even by the age of the entry's
  * request, since the entry may have been paused. The outcome is therefore
  * FS_UNKNOWN, and the id is kept as cancelled so that the request is refused
- * if it still arrives. For a known id, the recorded outcome is sent again.
+ * if it still arrives. For a known id, FS_NOT_RUN is sent if that was its
+ * outcome, else FS_UNKNOWN.
  *
  * Pure.
  */
