--- a/src/lod.c
+++ b/src/lod.c
@@ -1,10 +1,10 @@
 #include "lod_impl.h"
 
 /* Of the fleet's budget a part is kept back for what is not known here yet. */
-#define POOL_SHARE 0.85
+#define BUDGET_USABLE_SHARE 0.85
 /* The unserved share is that of about the last second: of so many requests. */
-#define UNSERVED_REQUESTS_MIN 20.0
-#define UNSERVED_REQUESTS_MAX 200.0
+#define UNSERVED_WINDOW_MIN 20.0
+#define UNSERVED_WINDOW_MAX 200.0
 
 void lod_start_packet(struct lod *lod, struct lod_packet *packet,
 		      enum lod_type type)
@@ -19,18 +19,19 @@
 void lod_in_flight_changed(struct lod *lod, struct dir_target *target)
 {
 	lod->changed = true;
-	g_hash_table_add(lod->to_tell, GUINT_TO_POINTER(target->hash));
+	g_hash_table_add(lod->unreported_targets,
+			 GUINT_TO_POINTER(target->hash));
 }
 
 void lod_record_outcome(struct lod *lod, struct dir_target *target,
-			enum gry_outcome outcome, int64_t took_us)
+			enum gry_outcome outcome, int64_t latency_us)
 {
 	struct lod_evidence e = {
 		.origin = lod->node->self,
 		.target = target->hash,
 		.outcome = outcome,
 		.count = 1,
-		.took_us = outcome == GRY_SUCCESS ? took_us : 0,
+		.latency_sum_us = outcome == GRY_SUCCESS ? latency_us : 0,
 	};
 
 	int64_t now_us = fs_now_us();
@@ -46,96 +47,103 @@
 }
 
 void lod_add_service_counts(GHashTable *table,
-			    const struct lod_service_counts *sends)
+			    const struct lod_service_counts *service_counts)
 {
-	void *key = GUINT_TO_POINTER(sends->service);
+	void *key = GUINT_TO_POINTER(service_counts->service);
 	struct lod_service_counts *row = g_hash_table_lookup(table, key);
 
 	if (!row) {
 		row = g_new0(struct lod_service_counts, 1);
-		row->service = sends->service;
+		row->service = service_counts->service;
 		g_hash_table_insert(table, key, row);
 	}
-	row->requests += sends->requests;
-	row->repeats += sends->repeats;
-	row->unserved += sends->unserved;
+	row->requests += service_counts->requests;
+	row->retries += service_counts->retries;
+	row->unserved += service_counts->unserved;
 }
 
 void lod_record_requests(struct lod *lod, const char *service,
-			 uint32_t requests, uint32_t repeats, uint32_t unserved)
+			 uint32_t requests, uint32_t retries, uint32_t unserved)
 {
-	const struct lod_service_counts sends = {
+	const struct lod_service_counts service_counts = {
 		.service = lod_name_hash(service),
 		.requests = requests,
-		.repeats = repeats,
+		.retries = retries,
 		.unserved = unserved,
 	};
 
-	lod_add_service_counts(lod->sends, &sends);
+	lod_add_service_counts(lod->service_counts, &service_counts);
 	lod->changed = true;
 }
 
-static struct lod_service_stats *pool_of(struct lod *lod, uint32_t service)
+static struct lod_service_stats *service_stats_of(struct lod *lod,
+						  uint32_t service)
 {
 	void *key = GUINT_TO_POINTER(service);
-	struct lod_service_stats *pool = g_hash_table_lookup(lod->pools, key);
+	struct lod_service_stats *stats =
+		g_hash_table_lookup(lod->service_stats, key);
 
-	if (!pool) {
-		pool = g_new0(struct lod_service_stats, 1);
-		g_hash_table_insert(lod->pools, key, pool);
+	if (!stats) {
+		stats = g_new0(struct lod_service_stats, 1);
+		g_hash_table_insert(lod->service_stats, key, stats);
 	}
-	return pool;
+	return stats;
 }
 
 double lod_retry_budget_left(struct lod *lod, const char *service,
 			     const struct bud_rule *rule, int64_t now_us)
 {
-	struct bud_rule part = *rule;
+	struct bud_rule usable = *rule;
 
-	part.ratio *= POOL_SHARE;
-	part.slack *= POOL_SHARE;
-	return bud_retries_left(&pool_of(lod, lod_name_hash(service))->budget,
-				&part, 1, now_us);
+	usable.ratio *= BUDGET_USABLE_SHARE;
+	usable.slack *= BUDGET_USABLE_SHARE;
+	return bud_retries_left(
+		&service_stats_of(lod, lod_name_hash(service))->budget, &usable,
+		1, now_us);
 }
 
 double lod_request_rate(struct lod *lod, const char *service, int64_t now_us)
 {
-	return bud_request_rate(&pool_of(lod, lod_name_hash(service))->budget,
-				&lod->rule, now_us);
+	return bud_request_rate(
+		&service_stats_of(lod, lod_name_hash(service))->budget,
+		&lod->rule, now_us);
 }
 
 double lod_unserved_share(const struct lod *lod, const char *service)
 {
-	const struct lod_service_stats *pool = g_hash_table_lookup(
-		lod->pools, GUINT_TO_POINTER(lod_name_hash(service)));
+	const struct lod_service_stats *stats = g_hash_table_lookup(
+		lod->service_stats, GUINT_TO_POINTER(lod_name_hash(service)));
 
-	return pool ? pool->unserved : 0.0;
+	return stats ? stats->unserved : 0.0;
 }
 
-static void take_sends(struct lod *lod, const struct lod_service_counts *sends,
-		       int64_t now_us)
+static void
+apply_service_counts(struct lod *lod,
+		     const struct lod_service_counts *service_counts,
+		     int64_t now_us)
 {
-	struct lod_service_stats *pool = pool_of(lod, sends->service);
-
-	double weight =
-		1.0 / CLAMP(bud_request_rate(&pool->budget, &lod->rule, now_us),
-			    UNSERVED_REQUESTS_MIN, UNSERVED_REQUESTS_MAX);
-
-	for (uint32_t i = 0; i < sends->requests; i++)
-		pool->unserved -= weight * pool->unserved;
-	pool->unserved += weight * sends->unserved;
-	for (uint32_t i = 0; i < sends->requests; i++)
-		bud_count_request(&pool->budget, &lod->rule, now_us);
-	for (uint32_t i = 0; i < sends->repeats; i++)
-		bud_count_retry(&pool->budget, &lod->rule, now_us);
+	struct lod_service_stats *stats =
+		service_stats_of(lod, service_counts->service);
+
+	double weight = 1.0 / CLAMP(bud_request_rate(&stats->budget, &lod->rule,
+						     now_us),
+				    UNSERVED_WINDOW_MIN, UNSERVED_WINDOW_MAX);
+
+	for (uint32_t i = 0; i < service_counts->requests; i++)
+		stats->unserved -= weight * stats->unserved;
+	stats->unserved += weight * service_counts->unserved;
+	for (uint32_t i = 0; i < service_counts->requests; i++)
+		bud_count_request(&stats->budget, &lod->rule, now_us);
+	for (uint32_t i = 0; i < service_counts->retries; i++)
+		bud_count_retry(&stats->budget, &lod->rule, now_us);
 }
 
 /* Sets what others have at a target: all domains' counts but this node's. */
-static void set_others(struct lod *lod, uint32_t hash)
+static void update_others(struct lod *lod, uint32_t hash)
 {
 	struct dir_target *target = dir_target_by_hash(lod->dir, hash);
-	uint32_t own = GPOINTER_TO_UINT(
-		g_hash_table_lookup(lod->own, GUINT_TO_POINTER(hash)));
+	uint32_t own = GPOINTER_TO_UINT(g_hash_table_lookup(
+		lod->reported_counts, GUINT_TO_POINTER(hash)));
 	uint32_t total = 0;
 	GHashTableIter iter;
 	void *value;
@@ -149,16 +157,16 @@
 	bal_target_get(target, fs_now_us())->others = total - MIN(own, total);
 }
 
-static void note_send(struct lod *lod, const struct lod_target_count *c,
-		      int64_t now_us)
+static void record_last_send(struct lod *lod, const struct lod_target_count *c,
+			     int64_t now_us)
 {
 	struct dir_target *target = dir_target_by_hash(lod->dir, c->target);
-	struct bal_target *kept;
+	struct bal_target *state;
 
 	if (!target || c->sent_ago_us >= LOD_SENT_AGO_MAX_US)
 		return;
-	kept = bal_target_get(target, now_us);
-	kept->sent_us = MAX(kept->sent_us, now_us - c->sent_ago_us);
+	state = bal_target_get(target, now_us);
+	state->sent_us = MAX(state->sent_us, now_us - c->sent_ago_us);
 }
 
 static struct lod_domain *domain_of(struct lod *lod, uint32_t hash)
@@ -175,8 +183,8 @@
 	return domain;
 }
 
-static bool is_old(const struct lod_domain *domain,
-		   const struct lod_packet *packet)
+static bool is_stale_digest(const struct lod_domain *domain,
+			    const struct lod_packet *packet)
 {
 	return domain->hub == packet->sender &&
 	       (domain->incarnation > packet->incarnation ||
@@ -185,7 +193,7 @@
 }
 
 /* Tells the feed task of another reader. */
-static void tell_feed(struct lod *lod, const struct lod_packet *packet)
+static void notify_feed(struct lod *lod, const struct lod_packet *packet)
 {
 	struct msg *m =
 		msg_new(MSG_FEED_BEAT, lod->node->self, MSG_TASK_CONFIG);
@@ -203,10 +211,10 @@
 {
 	struct lod_domain *domain = domain_of(lod, packet->domain);
 
-	if (is_old(domain, packet))
+	if (is_stale_digest(domain, packet))
 		return;
 	if (packet->sender != lod->node->self)
-		tell_feed(lod, packet);
+		notify_feed(lod, packet);
 	domain->hub = packet->sender;
 	domain->incarnation = packet->incarnation;
 	domain->serial = packet->serial;
@@ -217,8 +225,8 @@
 			packet->counts, struct lod_target_count, i);
 
 		lod_counts_put(&domain->counts, c->target, c->requests, now_us);
-		set_others(lod, c->target);
-		note_send(lod, c, now_us);
+		update_others(lod, c->target);
+		record_last_send(lod, c, now_us);
 	}
 	for (guint i = 0; i < packet->evidence->len; i++) {
 		const struct lod_evidence *e = &g_array_index(
@@ -227,26 +235,27 @@
 		if (e->origin != lod->node->self)
 			lod_evidence_apply(lod, e, false);
 	}
-	for (guint i = 0; i < packet->sends->len; i++)
-		take_sends(lod,
-			   &g_array_index(packet->sends,
-					  struct lod_service_counts, i),
-			   now_us);
+	for (guint i = 0; i < packet->service_counts->len; i++)
+		apply_service_counts(lod,
+				     &g_array_index(packet->service_counts,
+						    struct lod_service_counts,
+						    i),
+				     now_us);
 }
 
-static void drop_stale(struct lod *lod, int64_t now_us)
+static void expire_counts(struct lod *lod, int64_t now_us)
 {
-	g_autoptr(GArray) lapsed = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	g_autoptr(GArray) expired = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	GHashTableIter iter;
 	void *value;
 
 	g_hash_table_iter_init(&iter, lod->domains);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		lod_counts_expire(&((struct lod_domain *)value)->counts,
-				  now_us - LOD_COUNT_EXPIRY_US, lapsed);
-	for (guint i = 0; i < lapsed->len; i++)
-		set_others(lod, g_array_index(lapsed, uint32_t, i));
-	ctr_count(lod->node->ctr, "lod_counts_lapsed", lapsed->len);
+				  now_us - LOD_COUNT_EXPIRY_US, expired);
+	for (guint i = 0; i < expired->len; i++)
+		update_others(lod, g_array_index(expired, uint32_t, i));
+	ctr_count(lod->node->ctr, "lod_counts_lapsed", expired->len);
 }
 
 /* A target without requests is told once, for the time of its last send. */
@@ -256,8 +265,8 @@
 	GHashTableIter iter;
 	void *hash;
 
-	g_hash_table_remove_all(lod->own);
-	g_hash_table_iter_init(&iter, lod->to_tell);
+	g_hash_table_remove_all(lod->reported_counts);
+	g_hash_table_iter_init(&iter, lod->unreported_targets);
 	while (g_hash_table_iter_next(&iter, &hash, NULL)) {
 		struct dir_target *target =
 			dir_target_by_hash(lod->dir, GPOINTER_TO_UINT(hash));
@@ -268,7 +277,7 @@
 			continue;
 		}
 		if (packet->counts->len >= LOD_COUNTS_MAX) {
-			ctr_add(lod->node->ctr, lod->left, 1);
+			ctr_add(lod->node->ctr, lod->counts_left, 1);
 			continue;
 		}
 		c.requests = bal_target_get(target, now_us)->own;
@@ -276,28 +285,28 @@
 			now_us - bal_target_get(target, now_us)->sent_us;
 		g_array_append_val(packet->counts, c);
 		if (c.requests)
-			g_hash_table_insert(lod->own, hash,
+			g_hash_table_insert(lod->reported_counts, hash,
 					    GUINT_TO_POINTER(c.requests));
 		else
 			g_hash_table_iter_remove(&iter);
 	}
 }
 
-static void add_sends(struct lod *lod, struct lod_packet *packet)
+static void add_service_counts(struct lod *lod, struct lod_packet *packet)
 {
 	GHashTableIter iter;
 	void *value;
 
-	g_hash_table_iter_init(&iter, lod->sends);
-	while (packet->sends->len < LOD_SERVICE_COUNTS_MAX &&
+	g_hash_table_iter_init(&iter, lod->service_counts);
+	while (packet->service_counts->len < LOD_SERVICE_COUNTS_MAX &&
 	       g_hash_table_iter_next(&iter, NULL, &value)) {
-		g_array_append_val(packet->sends,
+		g_array_append_val(packet->service_counts,
 				   *(struct lod_service_counts *)value);
 		g_hash_table_iter_remove(&iter);
 	}
 }
 
-static void report(struct lod *lod, int64_t now_us)
+static void send_report(struct lod *lod, int64_t now_us)
 {
 	g_autoptr(GByteArray) data = g_byte_array_new();
 	struct lod_packet packet;
@@ -305,7 +314,7 @@
 	lod_start_packet(lod, &packet, LOD_REPORT);
 	add_own_counts(lod, &packet, now_us);
 	lod_queue_dequeue(&lod->evidence, packet.evidence, LOD_EVIDENCE_MAX);
-	add_sends(lod, &packet);
+	add_service_counts(lod, &packet);
 	if (lod->hubs[0] == lod->node->self || lod->hubs[1] == lod->node->self)
 		lod_hub_receive_report(lod, &packet, now_us);
 	if (!lod_wire_encode(&packet, lod->node->set.fleet_key, data)) {
@@ -318,7 +327,7 @@
 	lod->reported_us = now_us;
 }
 
-static int64_t pause_us(const struct lod *lod)
+static int64_t report_interval_us(const struct lod *lod)
 {
 	if (lod->urgent)
 		return 0;
@@ -333,28 +342,28 @@
 {
 	struct lod *lod = timer->data;
 	int64_t now_us = fs_now_us();
-	int64_t again_us;
+	int64_t next_us;
 
 	(void)loop;
 	(void)events;
 	if (!lod->view)
 		return;
 	if (lod->urgent)
-		report(lod, now_us);
-	again_us = lod_hub_flush(lod, now_us);
+		send_report(lod, now_us);
+	next_us = lod_hub_flush(lod, now_us);
 	if (lod->urgent)
-		again_us = now_us + LOD_URGENT_REPORT_INTERVAL_US;
-	if (again_us)
-		lod_schedule_flush(lod, again_us, now_us);
+		next_us = now_us + LOD_URGENT_REPORT_INTERVAL_US;
+	if (next_us)
+		lod_schedule_flush(lod, next_us, now_us);
 }
 
 void lod_schedule_flush(struct lod *lod, int64_t at_us, int64_t now_us)
 {
-	if (ev_is_active(&lod->flush))
+	if (ev_is_active(&lod->flush_timer))
 		return;
-	ev_timer_set(&lod->flush, (double)MAX(at_us - now_us, 0) / FS_US_PER_S,
-		     0.0);
-	ev_timer_start(lod->node->loop, &lod->flush);
+	ev_timer_set(&lod->flush_timer,
+		     (double)MAX(at_us - now_us, 0) / FS_US_PER_S, 0.0);
+	ev_timer_start(lod->node->loop, &lod->flush_timer);
 }
 
 static void on_tick(void *task, int64_t now_us)
@@ -363,10 +372,10 @@
 
 	if (!lod->view)
 		return;
-	drop_stale(lod, now_us);
-	if ((lod->changed || g_hash_table_size(lod->to_tell)) &&
-	    now_us - lod->reported_us >= pause_us(lod))
-		report(lod, now_us);
+	expire_counts(lod, now_us);
+	if ((lod->changed || g_hash_table_size(lod->unreported_targets)) &&
+	    now_us - lod->reported_us >= report_interval_us(lod))
+		send_report(lod, now_us);
 	lod_hub_tick(lod, now_us);
 }
 
@@ -410,21 +419,22 @@
 
 static void make_tables(struct lod *lod)
 {
-	lod->own = g_hash_table_new(NULL, NULL);
-	lod->to_tell = g_hash_table_new(NULL, NULL);
+	lod->reported_counts = g_hash_table_new(NULL, NULL);
+	lod->unreported_targets = g_hash_table_new(NULL, NULL);
 	lod_queue_init(&lod->evidence);
-	lod->sends = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	lod->service_counts = g_hash_table_new_full(NULL, NULL, NULL, g_free);
 	lod->domains = g_hash_table_new_full(NULL, NULL, NULL, domain_free);
-	lod->trust = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					   g_free);
-	lod->means =
+	lod->path_fault_shares = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, g_free);
+	lod->mean_latencies =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	lod->pools = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	lod->service_stats = g_hash_table_new_full(NULL, NULL, NULL, g_free);
 	lod->peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
 					   peer_free);
-	lod->told = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	lod->last_broadcasts = g_hash_table_new_full(NULL, NULL, NULL, g_free);
 	lod_queue_init(&lod->hub_evidence);
-	lod->hub_sends = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	lod->hub_service_counts =
+		g_hash_table_new_full(NULL, NULL, NULL, g_free);
 }
 
 struct lod *lod_new(struct node *node, struct dir *dir)
@@ -444,11 +454,11 @@
 		.window_us = node->set.retry_window_us,
 	};
 	make_tables(lod);
-	ev_timer_init(&lod->flush, on_flush, 0.0, 0.0);
-	lod->flush.data = lod;
+	ev_timer_init(&lod->flush_timer, on_flush, 0.0, 0.0);
+	lod->flush_timer.data = lod;
 	lod->sent = ctr_counter(node->ctr, "lod_sent_datagrams");
 	lod->received = ctr_counter(node->ctr, "lod_received_datagrams");
-	lod->left = ctr_counter(node->ctr, "lod_counts_left");
+	lod->counts_left = ctr_counter(node->ctr, "lod_counts_left");
 	lod->refused = ctr_counter(node->ctr, "lod_refused_datagrams");
 	bus_attach(node->bus, MSG_TASK_LOAD, &ops, lod);
 	node_add_tick(node, on_tick, lod);
@@ -459,21 +469,21 @@
 {
 	if (!lod)
 		return;
-	ev_timer_stop(lod->node->loop, &lod->flush);
+	ev_timer_stop(lod->node->loop, &lod->flush_timer);
 	lod_net_close(lod);
 	node_remove_tick(lod->node, lod);
-	g_hash_table_unref(lod->own);
-	g_hash_table_unref(lod->to_tell);
+	g_hash_table_unref(lod->reported_counts);
+	g_hash_table_unref(lod->unreported_targets);
 	lod_queue_clear(&lod->evidence);
-	g_hash_table_unref(lod->sends);
+	g_hash_table_unref(lod->service_counts);
 	g_hash_table_unref(lod->domains);
-	g_hash_table_unref(lod->trust);
-	g_hash_table_unref(lod->means);
-	g_hash_table_unref(lod->pools);
+	g_hash_table_unref(lod->path_fault_shares);
+	g_hash_table_unref(lod->mean_latencies);
+	g_hash_table_unref(lod->service_stats);
 	g_hash_table_unref(lod->peers);
-	g_hash_table_unref(lod->told);
+	g_hash_table_unref(lod->last_broadcasts);
 	lod_queue_clear(&lod->hub_evidence);
-	g_hash_table_unref(lod->hub_sends);
+	g_hash_table_unref(lod->hub_service_counts);
 	mem_view_unref(lod->view);
 	g_free(lod);
 }
--- a/src/lod.h
+++ b/src/lod.h
@@ -41,12 +41,12 @@
 
 /** Notes an outcome. @param took_us  of a good one, else 0 */
 void lod_record_outcome(struct lod *lod, struct dir_target *target,
-			enum gry_outcome outcome, int64_t took_us);
+			enum gry_outcome outcome, int64_t latency_us);
 
 /** Notes requests and repeats that this node sent a service, and requests
  *  that ended unserved. */
 void lod_record_requests(struct lod *lod, const char *service,
-			 uint32_t requests, uint32_t repeats,
+			 uint32_t requests, uint32_t retries,
 			 uint32_t unserved);
 
 /** Returns the share of a service's requests that ends unserved now, in the
--- a/src/lod_counts.c
+++ b/src/lod_counts.c
@@ -3,7 +3,7 @@
 /** One target. */
 struct row {
 	uint32_t requests;
-	int64_t told_us;
+	int64_t updated_us;
 };
 
 void lod_counts_init(struct lod_counts *counts)
@@ -31,7 +31,7 @@
 		g_hash_table_insert(counts->rows, key, row);
 	}
 	row->requests = requests;
-	row->told_us = now_us;
+	row->updated_us = now_us;
 }
 
 uint32_t lod_counts_get(const struct lod_counts *counts, uint32_t target)
@@ -43,7 +43,7 @@
 }
 
 void lod_counts_expire(struct lod_counts *counts, int64_t before_us,
-		       GArray *lapsed)
+		       GArray *expired)
 {
 	GHashTableIter iter;
 	void *key;
@@ -53,9 +53,9 @@
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
 		uint32_t target = GPOINTER_TO_UINT(key);
 
-		if (((struct row *)value)->told_us >= before_us)
+		if (((struct row *)value)->updated_us >= before_us)
 			continue;
-		g_array_append_val(lapsed, target);
+		g_array_append_val(expired, target);
 		g_hash_table_iter_remove(&iter);
 	}
 }
@@ -65,16 +65,18 @@
 	const struct lod_pending_count *x = a;
 	const struct lod_pending_count *y = b;
 
-	return x->told_us < y->told_us ? -1 : x->told_us > y->told_us;
+	return x->broadcast_us < y->broadcast_us ?
+		       -1 :
+		       x->broadcast_us > y->broadcast_us;
 }
 
-guint lod_counts_select_oldest(GArray *waiting, guint max)
+guint lod_counts_select_oldest(GArray *pending, guint max)
 {
-	guint dropped = waiting->len > max ? waiting->len - max : 0;
+	guint dropped = pending->len > max ? pending->len - max : 0;
 
 	if (!dropped)
 		return 0;
-	g_array_sort(waiting, by_age);
-	g_array_set_size(waiting, max);
+	g_array_sort(pending, by_age);
+	g_array_set_size(pending, max);
 	return dropped;
 }
--- a/src/lod_hub.c
+++ b/src/lod_hub.c
@@ -21,7 +21,7 @@
 }
 
 /* Returns the pause between digests while failures are to be told. */
-static int64_t urgent_us(const struct lod *lod)
+static int64_t urgent_interval_us(const struct lod *lod)
 {
 	return MAX(LOD_URGENT_DIGEST_INTERVAL_US,
 		   lod->domain_nodes * LOD_URGENT_DIGEST_PER_NODE_US);
@@ -40,28 +40,30 @@
 	return peer;
 }
 
-static struct lod_last_broadcast *told_of(struct lod *lod, void *target)
+static struct lod_last_broadcast *last_broadcast_of(struct lod *lod,
+						    void *target)
 {
-	struct lod_last_broadcast *told =
-		g_hash_table_lookup(lod->told, target);
+	struct lod_last_broadcast *last =
+		g_hash_table_lookup(lod->last_broadcasts, target);
 
-	if (!told) {
-		told = g_new0(struct lod_last_broadcast, 1);
-		told->sent_us = INT64_MIN / 2;
-		g_hash_table_insert(lod->told, target, told);
+	if (!last) {
+		last = g_new0(struct lod_last_broadcast, 1);
+		last->sent_us = INT64_MIN / 2;
+		g_hash_table_insert(lod->last_broadcasts, target, last);
 	}
-	return told;
+	return last;
 }
 
-static void note_reported_send(struct lod *lod,
-			       const struct lod_target_count *c, int64_t now_us)
+static void record_reported_send(struct lod *lod,
+				 const struct lod_target_count *c,
+				 int64_t now_us)
 {
-	struct lod_last_broadcast *told;
+	struct lod_last_broadcast *last;
 
 	if (c->sent_ago_us >= LOD_SENT_AGO_MAX_US)
 		return;
-	told = told_of(lod, GUINT_TO_POINTER(c->target));
-	told->sent_us = MAX(told->sent_us, now_us - c->sent_ago_us);
+	last = last_broadcast_of(lod, GUINT_TO_POINTER(c->target));
+	last->sent_us = MAX(last->sent_us, now_us - c->sent_ago_us);
 }
 
 void lod_hub_receive_report(struct lod *lod, const struct lod_packet *packet,
@@ -86,7 +88,7 @@
 			g_hash_table_insert(peer->counts,
 					    GUINT_TO_POINTER(c->target),
 					    GUINT_TO_POINTER(c->requests));
-		note_reported_send(lod, c, now_us);
+		record_reported_send(lod, c, now_us);
 	}
 	for (guint i = 0; i < packet->evidence->len; i++) {
 		const struct lod_evidence *e = &g_array_index(
@@ -96,11 +98,11 @@
 			lod_evidence_enqueue(lod, &lod->hub_evidence, e);
 	}
 	if (lod_queue_pending(&lod->hub_evidence))
-		lod_schedule_flush(lod, lod->digest_us + urgent_us(lod),
-				   now_us);
-	for (guint i = 0; i < packet->sends->len; i++)
-		lod_add_service_counts(lod->hub_sends,
-				       &g_array_index(packet->sends,
+		lod_schedule_flush(
+			lod, lod->digest_us + urgent_interval_us(lod), now_us);
+	for (guint i = 0; i < packet->service_counts->len; i++)
+		lod_add_service_counts(lod->hub_service_counts,
+				       &g_array_index(packet->service_counts,
 						      struct lod_service_counts,
 						      i));
 }
@@ -141,22 +143,22 @@
 }
 
 /* Notes what changed, and what was not told for a while. */
-static void add_waiting(struct lod *lod, GArray *waiting, void *target,
-			uint32_t requests, int64_t now_us)
+static void add_if_due(struct lod *lod, GArray *pending, void *target,
+		       uint32_t requests, int64_t now_us)
 {
-	const struct lod_last_broadcast *told = told_of(lod, target);
+	const struct lod_last_broadcast *last = last_broadcast_of(lod, target);
 	struct lod_pending_count w = {
 		.target = GPOINTER_TO_UINT(target),
 		.requests = requests,
-		.told_us = told->at_us,
+		.broadcast_us = last->at_us,
 	};
 
-	if (told->requests != requests || told->sent_us > told->at_us ||
-	    now_us - told->at_us >= LOD_REFRESH_INTERVAL_US)
-		g_array_append_val(waiting, w);
+	if (last->requests != requests || last->sent_us > last->at_us ||
+	    now_us - last->at_us >= LOD_REFRESH_INTERVAL_US)
+		g_array_append_val(pending, w);
 }
 
-static void find_waiting(struct lod *lod, GArray *waiting, int64_t now_us)
+static void find_pending(struct lod *lod, GArray *pending, int64_t now_us)
 {
 	g_autoptr(GHashTable) totals = total_counts(lod, now_us);
 	GHashTableIter iter;
@@ -165,49 +167,49 @@
 
 	g_hash_table_iter_init(&iter, totals);
 	while (g_hash_table_iter_next(&iter, &target, &value))
-		add_waiting(lod, waiting, target, GPOINTER_TO_UINT(value),
-			    now_us);
+		add_if_due(lod, pending, target, GPOINTER_TO_UINT(value),
+			   now_us);
 	/* A target without requests is told once, then forgotten. */
-	g_hash_table_iter_init(&iter, lod->told);
+	g_hash_table_iter_init(&iter, lod->last_broadcasts);
 	while (g_hash_table_iter_next(&iter, &target, &value)) {
-		struct lod_last_broadcast *told = value;
+		struct lod_last_broadcast *last = value;
 
 		if (g_hash_table_contains(totals, target))
 			continue;
-		if (told->requests || told->sent_us > told->at_us)
-			add_waiting(lod, waiting, target, 0, now_us);
-		else if (now_us - told->at_us >= LOD_REFRESH_INTERVAL_US)
+		if (last->requests || last->sent_us > last->at_us)
+			add_if_due(lod, pending, target, 0, now_us);
+		else if (now_us - last->at_us >= LOD_REFRESH_INTERVAL_US)
 			g_hash_table_iter_remove(&iter);
 	}
 }
 
-static void add_totals(struct lod *lod, struct lod_packet *packet,
-		       int64_t now_us)
+static void add_due_counts(struct lod *lod, struct lod_packet *packet,
+			   int64_t now_us)
 {
-	g_autoptr(GArray) waiting =
+	g_autoptr(GArray) pending =
 		g_array_new(FALSE, FALSE, sizeof(struct lod_pending_count));
 
-	find_waiting(lod, waiting, now_us);
-	ctr_add(lod->node->ctr, lod->left,
-		lod_counts_select_oldest(waiting, LOD_COUNTS_MAX));
-	for (guint i = 0; i < waiting->len; i++) {
+	find_pending(lod, pending, now_us);
+	ctr_add(lod->node->ctr, lod->counts_left,
+		lod_counts_select_oldest(pending, LOD_COUNTS_MAX));
+	for (guint i = 0; i < pending->len; i++) {
 		const struct lod_pending_count *w =
-			&g_array_index(waiting, struct lod_pending_count, i);
-		struct lod_last_broadcast *told =
-			told_of(lod, GUINT_TO_POINTER(w->target));
+			&g_array_index(pending, struct lod_pending_count, i);
+		struct lod_last_broadcast *last =
+			last_broadcast_of(lod, GUINT_TO_POINTER(w->target));
 		struct lod_target_count c = {
 			.target = w->target,
 			.requests = w->requests,
-			.sent_ago_us = now_us - told->sent_us,
+			.sent_ago_us = now_us - last->sent_us,
 		};
 
-		told->requests = w->requests;
-		told->at_us = now_us;
+		last->requests = w->requests;
+		last->at_us = now_us;
 		g_array_append_val(packet->counts, c);
 	}
 }
 
-static void move_sends(GHashTable *from, GArray *to)
+static void move_service_counts(GHashTable *from, GArray *to)
 {
 	GHashTableIter iter;
 	void *value;
@@ -215,17 +217,17 @@
 	g_hash_table_iter_init(&iter, from);
 	while (to->len < LOD_SERVICE_COUNTS_MAX &&
 	       g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct lod_service_counts sends =
+		struct lod_service_counts service_counts =
 			*(struct lod_service_counts *)value;
 
-		g_array_append_val(to, sends);
+		g_array_append_val(to, service_counts);
 		g_hash_table_iter_remove(&iter);
 	}
 }
 
 /* Sends a digest to the hubs of the other domains; to the second choice, which
  * only listens as long as the first one speaks, now and then. */
-static void publish_far(struct lod *lod, const GByteArray *data)
+static void send_to_other_domains(struct lod *lod, const GByteArray *data)
 {
 	g_autoptr(GHashTable) seen = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -238,12 +240,12 @@
 			continue;
 		mem_view_first(lod->view, domain, hubs);
 		lod_send_to_node(lod, data, hubs[0]);
-		if (lod->digests % LOD_STANDBY_DIGEST_RATIO == 0)
+		if (lod->digests_sent % LOD_STANDBY_DIGEST_RATIO == 0)
 			lod_send_to_node(lod, data, hubs[1]);
 	}
 }
 
-static void tell_digest(struct lod *lod, int64_t now_us)
+static void broadcast_digest(struct lod *lod, int64_t now_us)
 {
 	g_autoptr(GByteArray) data = g_byte_array_new();
 	struct lod_packet packet;
@@ -251,14 +253,14 @@
 	lod_start_packet(lod, &packet, LOD_DIGEST);
 	if (now_us - lod->feed_us < LOD_FEED_MAX_AGE_US)
 		packet.feed = lod->feed;
-	add_totals(lod, &packet, now_us);
+	add_due_counts(lod, &packet, now_us);
 	lod_queue_dequeue(&lod->hub_evidence, packet.evidence,
 			  LOD_EVIDENCE_MAX);
-	move_sends(lod->hub_sends, packet.sends);
+	move_service_counts(lod->hub_service_counts, packet.service_counts);
 	if (!lod_wire_encode(&packet, lod->node->set.fleet_key, data)) {
 		lod_broadcast_domain(lod, data);
-		publish_far(lod, data);
-		lod->digests++;
+		send_to_other_domains(lod, data);
+		lod->digests_sent++;
 	}
 	lod_apply_digest(lod, &packet, now_us);
 	lod_packet_clear(&packet);
@@ -272,24 +274,25 @@
 	/* The second choice drops what the first one tells. */
 	if (!lod_hub_is_active(lod, now_us)) {
 		lod_queue_discard(&lod->hub_evidence);
-		g_hash_table_remove_all(lod->hub_sends);
+		g_hash_table_remove_all(lod->hub_service_counts);
 		return;
 	}
 	lod_log_service_use(lod, now_us);
 	if (now_us - lod->digest_us >= LOD_DIGEST_INTERVAL_US)
-		tell_digest(lod, now_us);
+		broadcast_digest(lod, now_us);
 }
 
 int64_t lod_hub_flush(struct lod *lod, int64_t now_us)
 {
-	int64_t due_us = lod->digest_us + urgent_us(lod);
+	int64_t due_us = lod->digest_us + urgent_interval_us(lod);
 
 	if (!is_hub(lod) || !lod_hub_is_active(lod, now_us) ||
 	    !lod_queue_pending(&lod->hub_evidence))
 		return 0;
 	if (now_us < due_us)
 		return due_us;
-	tell_digest(lod, now_us);
-	return lod_queue_pending(&lod->hub_evidence) ? now_us + urgent_us(lod) :
-						       0;
+	broadcast_digest(lod, now_us);
+	return lod_queue_pending(&lod->hub_evidence) ?
+		       now_us + urgent_interval_us(lod) :
+		       0;
 }
--- a/src/lod_impl.h
+++ b/src/lod_impl.h
@@ -79,35 +79,40 @@
 	ev_io io;
 	uint32_t serial;
 	/* This node */
-	GHashTable *own;     /* target hash to requests, as last reported */
-	GHashTable *to_tell; /* target hashes for the next report */
-	struct lod_queue evidence; /* to be reported */
-	ev_timer flush;		   /* tells of failures between ticks */
-	GHashTable *sends; /* service hash to struct lod_service_counts */
+	GHashTable *
+		reported_counts; /* target hash to requests, as last reported */
+	GHashTable *unreported_targets; /* target hashes for the next report */
+	struct lod_queue evidence;	/* to be reported */
+	ev_timer flush_timer;		/* tells of failures between ticks */
+	GHashTable
+		*service_counts; /* service hash to struct lod_service_counts */
 	bool changed;
 	bool urgent; /* an outcome that others should know at once */
 	int64_t reported_us;
 	/* What is known */
 	GHashTable *domains; /* hash to struct lod_domain */
-	GHashTable *trust;   /* as a hub: node_id * to double *, lod_judge.c */
-	GHashTable *means;   /* service name to struct lod_mean_latency */
-	GHashTable *pools;   /* service hash to struct lod_service_stats */
+	GHashTable *
+		path_fault_shares; /* as a hub: node_id * to double *, lod_judge.c */
+	GHashTable *mean_latencies; /* service name to struct lod_mean_latency */
+	GHashTable *service_stats; /* service hash to struct lod_service_stats */
 	struct bud_rule rule;
 	/* As a hub */
 	node_id hubs[2]; /* of this domain: first and second choice */
 	uint32_t domain_nodes;
 	GHashTable *peers; /* node_id * to struct lod_peer */
-	GHashTable *told;  /* target hash to struct lod_last_broadcast */
+	GHashTable
+		*last_broadcasts; /* target hash to struct lod_last_broadcast */
 	struct lod_queue hub_evidence; /* to be told */
-	GHashTable *hub_sends; /* service hash to struct lod_service_counts */
+	GHashTable *
+		hub_service_counts; /* service hash to struct lod_service_counts */
 	int64_t digest_us;
 	int64_t use_logged_us;
-	uint32_t digests;	/* sent so far */
+	uint32_t digests_sent;	/* sent so far */
 	int64_t hub_last_rx_us; /* last digest of this domain's hub */
 	struct lod_feed feed;	/* of this node's feed task */
 	int64_t feed_us;	/* when it was told */
 	handle sent, received, refused;
-	handle left; /* counts that did not fit in a datagram */
+	handle counts_left; /* counts that did not fit in a datagram */
 };
 
 /** Names a service or failure domain in datagrams. */
@@ -164,6 +169,6 @@
 
 /** Adds sends to a table of struct lod_service_counts. */
 void lod_add_service_counts(GHashTable *table,
-			    const struct lod_service_counts *sends);
+			    const struct lod_service_counts *service_counts);
 
 #endif
--- a/src/lod_judge.c
+++ b/src/lod_judge.c
@@ -6,34 +6,37 @@
  * target's. What that node's own way to it may explain counts little: a node
  * that is cut from a target alone goes on telling of it. The hub does not pass
  * it on once two in five of that node's outcomes are of that kind. */
-#define PATH_TRUST 0.25
-#define UNREACHABLE_TRUST 0.05
-#define PATH_DISTRUST 0.4
-#define PATH_WEIGHT 0.15 /* of one more outcome in a node's share of them */
+#define PATH_FAULT_WEIGHT 0.25
+#define UNREACHABLE_WEIGHT 0.05
+#define PATH_FAULT_SHARE_MAX 0.4
+#define PATH_FAULT_SHARE_ALPHA \
+	0.15 /* of one more outcome in a node's share of them */
 
-#define MEAN_WEIGHT 0.03 /* of one more answer in a service's mean time */
+#define MEAN_LATENCY_ALPHA \
+	0.03 /* of one more answer in a service's mean time */
 /* The first answers count by their number, and say nothing of slowness. */
-#define MEAN_FIRST 20
+#define MEAN_LATENCY_WARMUP 20
 /* Good answers of a target that fails more often than any other may are told
  * before those of the others. */
-#define DOUBT 0.05
+#define DEGRADED_PROBABILITY 0.05
 /* Such an answer did no work; it says nothing about the time that work takes. */
-#define WORK_MIN_US (10 * FS_US_PER_MS)
+#define WORK_LATENCY_MIN_US (10 * FS_US_PER_MS)
 
 bool lod_evidence_is_reliable(struct lod *lod, const struct lod_evidence *e)
 {
-	double *bad = g_hash_table_lookup(lod->trust, &e->origin);
-	bool path = gry_may_be_path_fault(e->outcome);
+	double *share = g_hash_table_lookup(lod->path_fault_shares, &e->origin);
+	bool path_fault = gry_may_be_path_fault(e->outcome);
 
-	if (!bad) {
-		bad = g_new0(double, 1);
-		g_hash_table_insert(lod->trust,
+	if (!share) {
+		share = g_new0(double, 1);
+		g_hash_table_insert(lod->path_fault_shares,
 				    g_memdup2(&e->origin, sizeof(e->origin)),
-				    bad);
+				    share);
 	}
 	for (uint32_t i = 0; i < e->count; i++)
-		*bad += PATH_WEIGHT * ((path ? 1.0 : 0.0) - *bad);
-	return !path || *bad < PATH_DISTRUST;
+		*share += PATH_FAULT_SHARE_ALPHA *
+			  ((path_fault ? 1.0 : 0.0) - *share);
+	return !path_fault || *share < PATH_FAULT_SHARE_MAX;
 }
 
 void lod_evidence_enqueue(const struct lod *lod, struct lod_queue *queue,
@@ -46,48 +49,51 @@
 	lod_queue_add(queue, e,
 		      target && gry_failure_probability(
 					&bal_target_get(target, now_us)->gry,
-					now_us) > DOUBT);
+					now_us) > DEGRADED_PROBABILITY);
 	if (queue->dropped > dropped)
 		ctr_count(lod->node->ctr, "lod_evidence_dropped",
 			  queue->dropped - dropped);
 }
 
 /* How far an outcome that another node told counts here. */
-static double weight_of(const struct lod_evidence *e)
+static double evidence_weight(const struct lod_evidence *e)
 {
 	if (!gry_may_be_path_fault(e->outcome))
 		return 1.0;
-	return e->outcome == GRY_UNREACHABLE ? UNREACHABLE_TRUST : PATH_TRUST;
+	return e->outcome == GRY_UNREACHABLE ? UNREACHABLE_WEIGHT :
+					       PATH_FAULT_WEIGHT;
 }
 
-static void add_time(struct lod *lod, struct dir_target *target, int64_t us,
-		     int64_t now_us)
+static void record_latency(struct lod *lod, struct dir_target *target,
+			   int64_t us, int64_t now_us)
 {
 	struct lod_mean_latency *mean =
-		g_hash_table_lookup(lod->means, target->entry.service);
+		g_hash_table_lookup(lod->mean_latencies, target->entry.service);
 
-	if (us < WORK_MIN_US)
+	if (us < WORK_LATENCY_MIN_US)
 		return;
 	if (!mean) {
 		mean = g_new0(struct lod_mean_latency, 1);
-		g_hash_table_insert(lod->means, g_strdup(target->entry.service),
-				    mean);
+		g_hash_table_insert(lod->mean_latencies,
+				    g_strdup(target->entry.service), mean);
 	}
-	if (mean->count >= MEAN_FIRST)
+	if (mean->count >= MEAN_LATENCY_WARMUP)
 		gry_record_response_time(&bal_target_get(target, now_us)->gry,
 					 us, (int64_t)mean->us, now_us);
 	mean->count++;
-	mean->us +=
-		MAX(MEAN_WEIGHT, 1.0 / mean->count) * ((double)us - mean->us);
+	mean->us += MAX(MEAN_LATENCY_ALPHA, 1.0 / mean->count) *
+		    ((double)us - mean->us);
 }
 
-static void log_change(const struct lod *lod, const struct dir_target *target,
-		       const struct lod_evidence *e, bool own, bool suspect,
-		       double failure)
+static void log_suspicion_change(const struct lod *lod,
+				 const struct dir_target *target,
+				 const struct lod_evidence *e, bool own,
+				 bool suspected, double failure)
 {
-	ctr_count(lod->node->ctr, suspect ? "lod_suspected" : "lod_trusted", 1);
+	ctr_count(lod->node->ctr, suspected ? "lod_suspected" : "lod_trusted",
+		  1);
 	fs_log_eventf("lod", G_LOG_LEVEL_INFO,
-		      suspect ? "target_suspected" : "target_trusted",
+		      suspected ? "target_suspected" : "target_trusted",
 		      "\"target\":\"%s\",\"service\":\"%s\",\"outcome\":\"%s\","
 		      "\"source\":\"%s\",\"failure_share\":%.2f",
 		      target->entry.id, target->entry.service,
@@ -98,31 +104,32 @@
 void lod_evidence_apply(struct lod *lod, const struct lod_evidence *e, bool own)
 {
 	struct dir_target *target = dir_target_by_hash(lod->dir, e->target);
-	double weight = own ? 1.0 : weight_of(e);
+	double weight = own ? 1.0 : evidence_weight(e);
 	int64_t now_us = fs_now_us();
 	struct gry *gry;
-	bool was;
+	bool was_suspected;
 
 	if (!target)
 		return;
 	gry = &bal_target_get(target, now_us)->gry;
-	was = gry_is_suspected(gry, now_us);
+	was_suspected = gry_is_suspected(gry, now_us);
 	for (uint32_t i = 0; i < e->count; i++) {
 		gry_record_outcome(gry, e->outcome, weight, now_us);
 		if (e->outcome == GRY_FULL)
 			bal_note_full(target, now_us);
 		if (e->outcome == GRY_SUCCESS)
-			add_time(lod, target, e->took_us / e->count, now_us);
+			record_latency(lod, target,
+				       e->latency_sum_us / e->count, now_us);
 	}
-	if (was != gry_is_suspected(gry, now_us))
-		log_change(lod, target, e, own, !was,
-			   gry_failure_probability(gry, now_us));
+	if (was_suspected != gry_is_suspected(gry, now_us))
+		log_suspicion_change(lod, target, e, own, !was_suspected,
+				     gry_failure_probability(gry, now_us));
 }
 
 int64_t lod_mean_latency(const struct lod *lod, const char *service)
 {
 	const struct lod_mean_latency *mean =
-		g_hash_table_lookup(lod->means, service);
+		g_hash_table_lookup(lod->mean_latencies, service);
 
 	return mean ? (int64_t)mean->us : 0;
 }
--- a/src/lod_net.c
+++ b/src/lod_net.c
@@ -6,7 +6,7 @@
 #include "fs_log.h"
 #include "lod_impl.h"
 
-#define BURST_MAX 128 /* datagrams of one turn of the loop */
+#define DATAGRAMS_PER_WAKEUP_MAX 128 /* datagrams of one turn of the loop */
 
 static void send_to(struct lod *lod, const GByteArray *data,
 		    const struct mem_member *m)
@@ -40,8 +40,8 @@
 	}
 }
 
-static void take_packet(struct lod *lod, const struct lod_packet *packet,
-			const uint8_t *data, size_t size, int64_t now_us)
+static void handle_packet(struct lod *lod, const struct lod_packet *packet,
+			  const uint8_t *data, size_t size, int64_t now_us)
 {
 	bool local = packet->domain == lod->domain;
 
@@ -53,10 +53,10 @@
 		return;
 	/* A digest of another domain comes to the hub, which passes it on. */
 	if (!local && lod_hub_is_active(lod, now_us)) {
-		g_autoptr(GByteArray) copy = g_byte_array_new();
+		g_autoptr(GByteArray) forwarded = g_byte_array_new();
 
-		g_byte_array_append(copy, data, (guint)size);
-		lod_broadcast_domain(lod, copy);
+		g_byte_array_append(forwarded, data, (guint)size);
+		lod_broadcast_domain(lod, forwarded);
 	}
 	lod_apply_digest(lod, packet, now_us);
 }
@@ -69,7 +69,7 @@
 
 	(void)loop;
 	(void)events;
-	for (int i = 0; i < BURST_MAX && lod->view; i++) {
+	for (int i = 0; i < DATAGRAMS_PER_WAKEUP_MAX && lod->view; i++) {
 		ssize_t n = recv(lod->fd, data, sizeof(data), 0);
 		struct lod_packet packet;
 
@@ -79,7 +79,7 @@
 				    &packet))
 			ctr_add(lod->node->ctr, lod->refused, 1);
 		else
-			take_packet(lod, &packet, data, (size_t)n, now_us);
+			handle_packet(lod, &packet, data, (size_t)n, now_us);
 		ctr_add(lod->node->ctr, lod->received, 1);
 		lod_packet_clear(&packet);
 	}
--- a/src/lod_queue.c
+++ b/src/lod_queue.c
@@ -3,20 +3,23 @@
 void lod_queue_init(struct lod_queue *queue)
 {
 	queue->failures = g_array_new(FALSE, TRUE, sizeof(struct lod_evidence));
-	queue->doubtful = g_array_new(FALSE, TRUE, sizeof(struct lod_evidence));
-	queue->good = g_array_new(FALSE, TRUE, sizeof(struct lod_evidence));
+	queue->degraded_successes =
+		g_array_new(FALSE, TRUE, sizeof(struct lod_evidence));
+	queue->successes =
+		g_array_new(FALSE, TRUE, sizeof(struct lod_evidence));
 	queue->dropped = 0;
 }
 
 void lod_queue_clear(struct lod_queue *queue)
 {
 	g_clear_pointer(&queue->failures, g_array_unref);
-	g_clear_pointer(&queue->doubtful, g_array_unref);
-	g_clear_pointer(&queue->good, g_array_unref);
+	g_clear_pointer(&queue->degraded_successes, g_array_unref);
+	g_clear_pointer(&queue->successes, g_array_unref);
 }
 
 /* Adds to the row of the same target, if there is one. */
-static bool merge(GArray *rows, const struct lod_evidence *e, bool same_origin)
+static bool merge_row(GArray *rows, const struct lod_evidence *e,
+		      bool same_origin)
 {
 	for (guint i = 0; i < rows->len; i++) {
 		struct lod_evidence *row =
@@ -26,23 +29,24 @@
 		    (same_origin && row->origin != e->origin))
 			continue;
 		row->count += e->count;
-		row->took_us += e->took_us;
+		row->latency_sum_us += e->latency_sum_us;
 		return true;
 	}
 	return false;
 }
 
 void lod_queue_add(struct lod_queue *queue, const struct lod_evidence *e,
-		   bool in_doubt)
+		   bool degraded)
 {
-	GArray *good = in_doubt ? queue->doubtful : queue->good;
+	GArray *successes = degraded ? queue->degraded_successes :
+				       queue->successes;
 
 	if (e->outcome == GRY_SUCCESS) {
-		if (!merge(good, e, false))
-			g_array_append_val(good, *e);
+		if (!merge_row(successes, e, false))
+			g_array_append_val(successes, *e);
 		return;
 	}
-	if (merge(queue->failures, e, true))
+	if (merge_row(queue->failures, e, true))
 		return;
 	if (queue->failures->len < LOD_QUEUE_FAILURES_MAX)
 		g_array_append_val(queue->failures, *e);
@@ -52,8 +56,8 @@
 
 static void move_rows(GArray *from, GArray *to, guint max)
 {
-	guint room = max > to->len ? max - to->len : 0;
-	guint n = MIN(from->len, room);
+	guint capacity = max > to->len ? max - to->len : 0;
+	guint n = MIN(from->len, capacity);
 
 	if (!n)
 		return;
@@ -64,19 +68,19 @@
 void lod_queue_dequeue(struct lod_queue *queue, GArray *out, guint max)
 {
 	move_rows(queue->failures, out, max);
-	move_rows(queue->doubtful, out, max);
-	move_rows(queue->good, out, max);
-	g_array_set_size(queue->good, 0);
+	move_rows(queue->degraded_successes, out, max);
+	move_rows(queue->successes, out, max);
+	g_array_set_size(queue->successes, 0);
 }
 
 void lod_queue_discard(struct lod_queue *queue)
 {
 	g_array_set_size(queue->failures, 0);
-	g_array_set_size(queue->doubtful, 0);
-	g_array_set_size(queue->good, 0);
+	g_array_set_size(queue->degraded_successes, 0);
+	g_array_set_size(queue->successes, 0);
 }
 
 guint lod_queue_pending(const struct lod_queue *queue)
 {
-	return queue->failures->len + queue->doubtful->len;
+	return queue->failures->len + queue->degraded_successes->len;
 }
--- a/src/lod_queue.h
+++ b/src/lod_queue.h
@@ -16,10 +16,10 @@
 #define LOD_QUEUE_FAILURES_MAX 512
 
 struct lod_queue {
-	GArray *failures; /* struct lod_evidence, oldest first */
-	GArray *doubtful; /* the same: good answers of targets in doubt */
-	GArray *good;	  /* the same: all other good answers */
-	uint64_t dropped; /* failures that found no room */
+	GArray *failures;	    /* struct lod_evidence, oldest first */
+	GArray *degraded_successes; /* the same: good answers of targets in doubt */
+	GArray *successes;	    /* the same: all other good answers */
+	uint64_t dropped;	    /* failures that found no room */
 };
 
 void lod_queue_init(struct lod_queue *queue);
@@ -27,7 +27,7 @@
 
 /** Adds an outcome. @param in_doubt  the target is suspected, or was */
 void lod_queue_add(struct lod_queue *queue, const struct lod_evidence *e,
-		   bool in_doubt);
+		   bool degraded);
 
 /** Moves up to @p max rows to @p out, and drops what waits only as good news
  *  that changes nothing. */
--- a/src/lod_use.c
+++ b/src/lod_use.c
@@ -2,12 +2,12 @@
 #include "lod_impl.h"
 
 /* The lines of hubs stay few beside those of requests. */
-#define USE_LOG_US (2 * FS_US_PER_S)
+#define USE_LOG_INTERVAL_US (2 * FS_US_PER_S)
 /* A target that nobody sent a request for so long has no share of the work. */
-#define USE_IDLE_US (2 * FS_US_PER_S)
+#define IDLE_AFTER_US (2 * FS_US_PER_S)
 
 /** How the targets of one service are used. */
-struct use {
+struct service_use {
 	uint32_t targets; /* that are not leaving */
 	uint32_t idle;	  /* no send known for USE_IDLE_US */
 	uint32_t idle_at_work;
@@ -20,12 +20,13 @@
 	int64_t now_us;
 };
 
-static struct use *use_of(struct survey *survey, const char *service)
+static struct service_use *service_use_of(struct survey *survey,
+					  const char *service)
 {
-	struct use *use = g_hash_table_lookup(survey->uses, service);
+	struct service_use *use = g_hash_table_lookup(survey->uses, service);
 
 	if (!use) {
-		use = g_new0(struct use, 1);
+		use = g_new0(struct service_use, 1);
 		g_hash_table_insert(survey->uses, (void *)service, use);
 	}
 	return use;
@@ -34,19 +35,19 @@
 static void add_target(void *arg, const struct dir_target *target)
 {
 	struct survey *survey = arg;
-	const struct bal_target *kept = target->user_data;
-	bool suspected = kept && gry_is_suspected(&kept->gry, survey->now_us);
-	struct use *use;
+	const struct bal_target *state = target->user_data;
+	bool suspected = state && gry_is_suspected(&state->gry, survey->now_us);
+	struct service_use *use;
 
 	if (target->entry.leaving)
 		return;
-	use = use_of(survey, target->entry.service);
+	use = service_use_of(survey, target->entry.service);
 	use->targets++;
 	use->suspected += suspected;
-	if (kept && survey->now_us - kept->sent_us <= USE_IDLE_US)
+	if (state && survey->now_us - state->sent_us <= IDLE_AFTER_US)
 		return;
 	use->idle++;
-	use->idle_at_work += kept && kept->own + kept->others > 0;
+	use->idle_at_work += state && state->own + state->others > 0;
 	use->idle_suspected += suspected;
 }
 
@@ -59,13 +60,13 @@
 	void *service;
 	void *value;
 
-	if (now_us - lod->use_logged_us < USE_LOG_US)
+	if (now_us - lod->use_logged_us < USE_LOG_INTERVAL_US)
 		return;
 	lod->use_logged_us = now_us;
 	dir_each(lod->dir, add_target, &survey);
 	g_hash_table_iter_init(&iter, uses);
 	while (g_hash_table_iter_next(&iter, &service, &value)) {
-		const struct use *use = value;
+		const struct service_use *use = value;
 
 		fs_log_eventf("lod", G_LOG_LEVEL_INFO, "service_use",
 			      "\"service\":\"%s\",\"targets\":%u,"
@@ -78,6 +79,6 @@
 			      use->suspected,
 			      lod_request_rate(lod, service, now_us),
 			      lod_unserved_share(lod, service),
-			      ctr_get(lod->node->ctr, lod->left));
+			      ctr_get(lod->node->ctr, lod->counts_left));
 	}
 }
--- a/src/lod_wire.c
+++ b/src/lod_wire.c
@@ -6,10 +6,10 @@
 #include "fs_err.h"
 #include "sig.h"
 
-#define HEAD_MEMBERS 11 /* type to domain, feed, then three lists */
-#define OUTCOMES_MAX 64
+#define PACKET_MEMBERS 11 /* type to domain, feed, then three lists */
+#define EVIDENCE_COUNT_MAX 64
 #define REQUESTS_MAX 100000
-#define TOOK_MAX_US (600 * FS_US_PER_S)
+#define LATENCY_SUM_MAX_US (600 * FS_US_PER_S)
 
 void lod_packet_init(struct lod_packet *packet, enum lod_type type)
 {
@@ -19,7 +19,7 @@
 		g_array_new(FALSE, TRUE, sizeof(struct lod_target_count));
 	packet->evidence =
 		g_array_new(FALSE, TRUE, sizeof(struct lod_evidence));
-	packet->sends =
+	packet->service_counts =
 		g_array_new(FALSE, TRUE, sizeof(struct lod_service_counts));
 }
 
@@ -27,7 +27,7 @@
 {
 	g_clear_pointer(&packet->counts, g_array_unref);
 	g_clear_pointer(&packet->evidence, g_array_unref);
-	g_clear_pointer(&packet->sends, g_array_unref);
+	g_clear_pointer(&packet->service_counts, g_array_unref);
 }
 
 static int append(void *data, const char *buf, size_t size)
@@ -36,44 +36,44 @@
 	return 0;
 }
 
-static void put(msgpack_packer *packer, uint64_t value)
+static void pack_uint(msgpack_packer *packer, uint64_t value)
 {
 	msgpack_pack_uint64(packer, value);
 }
 
-static void put_lists(msgpack_packer *packer, const struct lod_packet *packet)
+static void pack_lists(msgpack_packer *packer, const struct lod_packet *packet)
 {
 	msgpack_pack_array(packer, (size_t)3 * packet->counts->len);
 	for (guint i = 0; i < packet->counts->len; i++) {
 		const struct lod_target_count *c = &g_array_index(
 			packet->counts, struct lod_target_count, i);
 
-		put(packer, c->target);
-		put(packer, c->requests);
-		put(packer,
-		    (uint64_t)(CLAMP(c->sent_ago_us, 0, LOD_SENT_AGO_MAX_US) /
-			       LOD_SENT_AGO_STEP_US));
+		pack_uint(packer, c->target);
+		pack_uint(packer, c->requests);
+		pack_uint(packer, (uint64_t)(CLAMP(c->sent_ago_us, 0,
+						   LOD_SENT_AGO_MAX_US) /
+					     LOD_SENT_AGO_STEP_US));
 	}
 	msgpack_pack_array(packer, (size_t)5 * packet->evidence->len);
 	for (guint i = 0; i < packet->evidence->len; i++) {
 		const struct lod_evidence *e = &g_array_index(
 			packet->evidence, struct lod_evidence, i);
 
-		put(packer, e->origin);
-		put(packer, e->target);
-		put(packer, e->outcome);
-		put(packer, e->count);
-		put(packer, (uint64_t)MAX(e->took_us, 0));
+		pack_uint(packer, e->origin);
+		pack_uint(packer, e->target);
+		pack_uint(packer, e->outcome);
+		pack_uint(packer, e->count);
+		pack_uint(packer, (uint64_t)MAX(e->latency_sum_us, 0));
 	}
-	msgpack_pack_array(packer, (size_t)4 * packet->sends->len);
-	for (guint i = 0; i < packet->sends->len; i++) {
+	msgpack_pack_array(packer, (size_t)4 * packet->service_counts->len);
+	for (guint i = 0; i < packet->service_counts->len; i++) {
 		const struct lod_service_counts *s = &g_array_index(
-			packet->sends, struct lod_service_counts, i);
+			packet->service_counts, struct lod_service_counts, i);
 
-		put(packer, s->service);
-		put(packer, s->requests);
-		put(packer, s->repeats);
-		put(packer, s->unserved);
+		pack_uint(packer, s->service);
+		pack_uint(packer, s->requests);
+		pack_uint(packer, s->retries);
+		pack_uint(packer, s->unserved);
 	}
 }
 
@@ -81,137 +81,139 @@
 		    GByteArray *out)
 {
 	msgpack_packer packer;
-	uint8_t code[SIG_SIZE];
+	uint8_t signature[SIG_SIZE];
 
 	msgpack_packer_init(&packer, out, append);
-	msgpack_pack_array(&packer, HEAD_MEMBERS);
-	put(&packer, packet->type);
-	put(&packer, packet->sender);
-	put(&packer, packet->incarnation);
-	put(&packer, packet->serial);
-	put(&packer, packet->domain);
-	put(&packer, packet->feed.digest);
-	put(&packer, packet->feed.config_version);
-	put(&packer, packet->feed.fresh);
-	put_lists(&packer, packet);
-	if (sig_sign(key, out->data, out->len, code))
+	msgpack_pack_array(&packer, PACKET_MEMBERS);
+	pack_uint(&packer, packet->type);
+	pack_uint(&packer, packet->sender);
+	pack_uint(&packer, packet->incarnation);
+	pack_uint(&packer, packet->serial);
+	pack_uint(&packer, packet->domain);
+	pack_uint(&packer, packet->feed.digest);
+	pack_uint(&packer, packet->feed.config_version);
+	pack_uint(&packer, packet->feed.fresh);
+	pack_lists(&packer, packet);
+	if (sig_sign(key, out->data, out->len, signature))
 		return FS_E_INVALID;
-	g_byte_array_append(out, code, SIG_SIZE);
+	g_byte_array_append(out, signature, SIG_SIZE);
 	return out->len <= FS_DATAGRAM_MAX ? 0 : FS_E_INVALID;
 }
 
 /** Takes whole numbers one after the other; anything else sets bad. */
 struct reader {
 	const msgpack_object *next;
-	uint32_t left;
-	bool bad;
+	uint32_t remaining;
+	bool invalid;
 };
 
 /* A function, not an argument of a macro: each call takes one number. */
-static uint64_t get(struct reader *r, uint64_t max)
+static uint64_t read_uint(struct reader *r, uint64_t max)
 {
 	uint64_t value;
 
-	if (r->bad || !r->left ||
+	if (r->invalid || !r->remaining ||
 	    r->next->type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
-		r->bad = true;
+		r->invalid = true;
 		return 0;
 	}
 	value = r->next->via.u64;
 	r->next++;
-	r->left--;
+	r->remaining--;
 	return value > max ? max : value;
 }
 
-static struct reader get_list(struct reader *r, uint32_t step)
+static struct reader read_list(struct reader *r, uint32_t row_size)
 {
-	struct reader list = {.bad = true};
+	struct reader list = {.invalid = true};
 
-	if (r->bad || !r->left || r->next->type != MSGPACK_OBJECT_ARRAY ||
-	    r->next->via.array.size % step) {
-		r->bad = true;
+	if (r->invalid || !r->remaining ||
+	    r->next->type != MSGPACK_OBJECT_ARRAY ||
+	    r->next->via.array.size % row_size) {
+		r->invalid = true;
 		return list;
 	}
 	list.next = r->next->via.array.ptr;
-	list.left = r->next->via.array.size;
-	list.bad = false;
+	list.remaining = r->next->via.array.size;
+	list.invalid = false;
 	r->next++;
-	r->left--;
+	r->remaining--;
 	return list;
 }
 
-static void get_counts(struct reader *r, struct lod_packet *packet)
+static void read_counts(struct reader *r, struct lod_packet *packet)
 {
-	struct reader list = get_list(r, 3);
+	struct reader list = read_list(r, 3);
 
-	while (!list.bad && list.left) {
+	while (!list.invalid && list.remaining) {
 		struct lod_target_count c = {0};
 
-		c.target = (uint32_t)get(&list, UINT32_MAX);
-		c.requests = (uint32_t)get(&list, REQUESTS_MAX);
-		c.sent_ago_us =
-			(int64_t)get(&list, LOD_SENT_AGO_MAX_US /
-						    LOD_SENT_AGO_STEP_US) *
-			LOD_SENT_AGO_STEP_US;
+		c.target = (uint32_t)read_uint(&list, UINT32_MAX);
+		c.requests = (uint32_t)read_uint(&list, REQUESTS_MAX);
+		c.sent_ago_us = (int64_t)read_uint(
+					&list, LOD_SENT_AGO_MAX_US /
+						       LOD_SENT_AGO_STEP_US) *
+				LOD_SENT_AGO_STEP_US;
 		g_array_append_val(packet->counts, c);
 	}
-	r->bad |= list.bad;
+	r->invalid |= list.invalid;
 }
 
-static void get_evidence(struct reader *r, struct lod_packet *packet)
+static void read_evidence(struct reader *r, struct lod_packet *packet)
 {
-	struct reader list = get_list(r, 5);
+	struct reader list = read_list(r, 5);
 
-	while (!list.bad && list.left) {
+	while (!list.invalid && list.remaining) {
 		struct lod_evidence e = {0};
 		uint64_t outcome;
 
-		e.origin = get(&list, UINT64_MAX);
-		e.target = (uint32_t)get(&list, UINT32_MAX);
-		outcome = get(&list, UINT32_MAX);
-		e.count = (uint32_t)get(&list, OUTCOMES_MAX);
-		e.took_us = (int64_t)get(&list, TOOK_MAX_US);
+		e.origin = read_uint(&list, UINT64_MAX);
+		e.target = (uint32_t)read_uint(&list, UINT32_MAX);
+		outcome = read_uint(&list, UINT32_MAX);
+		e.count = (uint32_t)read_uint(&list, EVIDENCE_COUNT_MAX);
+		e.latency_sum_us =
+			(int64_t)read_uint(&list, LATENCY_SUM_MAX_US);
 		if (outcome >= GRY_OUTCOME_COUNT)
 			continue;
 		e.outcome = (enum gry_outcome)outcome;
 		g_array_append_val(packet->evidence, e);
 	}
-	r->bad |= list.bad;
+	r->invalid |= list.invalid;
 }
 
-static void get_sends(struct reader *r, struct lod_packet *packet)
+static void read_service_counts(struct reader *r, struct lod_packet *packet)
 {
-	struct reader list = get_list(r, 4);
+	struct reader list = read_list(r, 4);
 
-	while (!list.bad && list.left) {
+	while (!list.invalid && list.remaining) {
 		struct lod_service_counts s = {0};
 
-		s.service = (uint32_t)get(&list, UINT32_MAX);
-		s.requests = (uint32_t)get(&list, REQUESTS_MAX);
-		s.repeats = (uint32_t)get(&list, REQUESTS_MAX);
-		s.unserved = (uint32_t)get(&list, REQUESTS_MAX);
-		g_array_append_val(packet->sends, s);
+		s.service = (uint32_t)read_uint(&list, UINT32_MAX);
+		s.requests = (uint32_t)read_uint(&list, REQUESTS_MAX);
+		s.retries = (uint32_t)read_uint(&list, REQUESTS_MAX);
+		s.unserved = (uint32_t)read_uint(&list, REQUESTS_MAX);
+		g_array_append_val(packet->service_counts, s);
 	}
-	r->bad |= list.bad;
+	r->invalid |= list.invalid;
 }
 
 static int read_packet(const msgpack_object *root, struct lod_packet *packet)
 {
 	struct reader r = {.next = root->via.array.ptr,
-			   .left = root->via.array.size};
-
-	packet->type = (enum lod_type)get(&r, UINT32_MAX);
-	packet->sender = get(&r, UINT64_MAX);
-	packet->incarnation = get(&r, UINT64_MAX);
-	packet->serial = (uint32_t)get(&r, UINT32_MAX);
-	packet->domain = (uint32_t)get(&r, UINT32_MAX);
-	packet->feed.digest = get(&r, UINT64_MAX);
-	packet->feed.config_version = get(&r, UINT64_MAX);
-	packet->feed.fresh = get(&r, 1);
-	get_counts(&r, packet);
-	get_evidence(&r, packet);
-	get_sends(&r, packet);
-	return r.bad ? FS_E_PROTOCOL : 0;
+			   .remaining = root->via.array.size};
+
+	packet->type = (enum lod_type)read_uint(&r, UINT32_MAX);
+	packet->sender = read_uint(&r, UINT64_MAX);
+	packet->incarnation = read_uint(&r, UINT64_MAX);
+	packet->serial = (uint32_t)read_uint(&r, UINT32_MAX);
+	packet->domain = (uint32_t)read_uint(&r, UINT32_MAX);
+	packet->feed.digest = read_uint(&r, UINT64_MAX);
+	packet->feed.config_version = read_uint(&r, UINT64_MAX);
+	packet->feed.fresh = read_uint(&r, 1);
+	read_counts(&r, packet);
+	read_evidence(&r, packet);
+	read_service_counts(&r, packet);
+	return r.invalid ? FS_E_PROTOCOL : 0;
 }
 
 int lod_wire_decode(const uint8_t *data, size_t size, const char *key,
--- a/src/lod_wire.h
+++ b/src/lod_wire.h
@@ -30,14 +30,14 @@
 	uint32_t target;
 	enum gry_outcome outcome;
 	uint32_t count;
-	int64_t took_us; /* sum, of good outcomes */
+	int64_t latency_sum_us; /* sum, of good outcomes */
 };
 
 /** Sends to a service. */
 struct lod_service_counts {
 	uint32_t service; /* hash of its name */
 	uint32_t requests;
-	uint32_t repeats;
+	uint32_t retries;
 	uint32_t unserved;
 };
 
@@ -54,11 +54,11 @@
 	node_id sender;
 	uint64_t incarnation;
 	uint32_t serial;
-	uint32_t domain;      /* hash of the sender's failure domain */
-	struct lod_feed feed; /* of digests */
-	GArray *counts;	      /* struct lod_target_count */
-	GArray *evidence;     /* struct lod_evidence */
-	GArray *sends;	      /* struct lod_service_counts */
+	uint32_t domain;	/* hash of the sender's failure domain */
+	struct lod_feed feed;	/* of digests */
+	GArray *counts;		/* struct lod_target_count */
+	GArray *evidence;	/* struct lod_evidence */
+	GArray *service_counts; /* struct lod_service_counts */
 };
 
 /** Sends are told in these steps, and as not told beyond the last step: this
--- a/tests/unit_lod.c
+++ b/tests/unit_lod.c
@@ -17,9 +17,9 @@
 		.target = 7,
 		.outcome = GRY_OVERDUE,
 		.count = 2,
-		.took_us = 1500,
+		.latency_sum_us = 1500,
 	};
-	struct lod_service_counts sends = {9, 10, 2, 1};
+	struct lod_service_counts service_counts = {9, 10, 2, 1};
 
 	lod_packet_init(packet, LOD_DIGEST);
 	packet->sender = 42;
@@ -31,7 +31,7 @@
 	packet->feed.fresh = true;
 	g_array_append_val(packet->counts, count);
 	g_array_append_val(packet->evidence, evidence);
-	g_array_append_val(packet->sends, sends);
+	g_array_append_val(packet->service_counts, service_counts);
 }
 
 /* Each number is read once: a macro that read it twice shifted all rows. */
@@ -57,9 +57,10 @@
 	g_assert_cmpuint(e->target, ==, 7);
 	g_assert_cmpint(e->outcome, ==, GRY_OVERDUE);
 	g_assert_cmpuint(e->count, ==, 2);
-	g_assert_cmpint(e->took_us, ==, 1500);
-	g_assert_cmpmem(out.sends->data, sizeof(struct lod_service_counts),
-			in.sends->data, sizeof(struct lod_service_counts));
+	g_assert_cmpint(e->latency_sum_us, ==, 1500);
+	g_assert_cmpmem(
+		out.service_counts->data, sizeof(struct lod_service_counts),
+		in.service_counts->data, sizeof(struct lod_service_counts));
 	lod_packet_clear(&in);
 	lod_packet_clear(&out);
 }
@@ -94,13 +95,13 @@
 			g_array_index(packet.evidence, struct lod_evidence, 0);
 
 		e.target = UINT32_MAX;
-		e.took_us = 10 * FS_US_PER_S;
+		e.latency_sum_us = 10 * FS_US_PER_S;
 		g_array_append_val(packet.evidence, e);
 	}
 	for (int i = 1; i < LOD_SERVICE_COUNTS_MAX; i++) {
 		struct lod_service_counts s = {UINT32_MAX, 1000, 1000, 1000};
 
-		g_array_append_val(packet.sends, s);
+		g_array_append_val(packet.service_counts, s);
 	}
 	g_assert_cmpint(lod_wire_encode(&packet, KEY, data), ==, 0);
 	lod_packet_clear(&packet);
@@ -128,7 +129,7 @@
 		.target = target,
 		.outcome = what,
 		.count = 1,
-		.took_us = what == GRY_SUCCESS ? 1000 : 0,
+		.latency_sum_us = what == GRY_SUCCESS ? 1000 : 0,
 	};
 }
 
@@ -173,12 +174,12 @@
 
 	lod_queue_init(&queue);
 	for (int i = 0; i < 4; i++) {
-		struct lod_evidence good = outcome(7, GRY_SUCCESS);
-		struct lod_evidence bad = outcome(7, GRY_BROKEN);
+		struct lod_evidence success = outcome(7, GRY_SUCCESS);
+		struct lod_evidence failure = outcome(7, GRY_BROKEN);
 
-		good.origin = bad.origin = 1 + (node_id)i / 2;
-		lod_queue_add(&queue, &good, false);
-		lod_queue_add(&queue, &bad, true);
+		success.origin = failure.origin = 1 + (node_id)i / 2;
+		lod_queue_add(&queue, &success, false);
+		lod_queue_add(&queue, &failure, true);
 	}
 	lod_queue_dequeue(&queue, out, 100);
 	g_assert_cmpuint(out->len, ==, 3);
@@ -186,8 +187,9 @@
 			 2);
 	g_assert_cmpuint(g_array_index(out, struct lod_evidence, 2).count, ==,
 			 4);
-	g_assert_cmpint(g_array_index(out, struct lod_evidence, 2).took_us, ==,
-			4000);
+	g_assert_cmpint(
+		g_array_index(out, struct lod_evidence, 2).latency_sum_us, ==,
+		4000);
 	lod_queue_clear(&queue);
 }
 
@@ -211,7 +213,7 @@
  * take the counts back, but they lapse, and those that are repeated stay. */
 static void test_counts_of_a_lost_hub_lapse(void)
 {
-	g_autoptr(GArray) lapsed = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	g_autoptr(GArray) expired = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	struct lod_counts counts;
 
 	lod_counts_init(&counts);
@@ -220,9 +222,9 @@
 	lod_counts_put(&counts, 3, 3, 0);
 	lod_counts_put(&counts, 3, 0, 1);
 	lod_counts_put(&counts, 2, 4, 100);
-	lod_counts_expire(&counts, 50, lapsed);
-	g_assert_cmpuint(lapsed->len, ==, 1);
-	g_assert_cmpuint(g_array_index(lapsed, uint32_t, 0), ==, 1);
+	lod_counts_expire(&counts, 50, expired);
+	g_assert_cmpuint(expired->len, ==, 1);
+	g_assert_cmpuint(g_array_index(expired, uint32_t, 0), ==, 1);
 	g_assert_cmpuint(lod_counts_get(&counts, 1), ==, 0);
 	g_assert_cmpuint(lod_counts_get(&counts, 2), ==, 4);
 	g_assert_cmpuint(lod_counts_get(&counts, 3), ==, 0);
@@ -237,28 +239,28 @@
 		TARGETS = 200,
 		DIGESTS = (TARGETS + LOD_COUNTS_MAX - 1) / LOD_COUNTS_MAX,
 	};
-	int64_t told_us[TARGETS] = {0};
+	int64_t broadcast_us[TARGETS] = {0};
 
 	for (int64_t now_us = 1; now_us <= DIGESTS; now_us++) {
-		g_autoptr(GArray) waiting = g_array_new(
+		g_autoptr(GArray) pending = g_array_new(
 			FALSE, FALSE, sizeof(struct lod_pending_count));
 
 		for (uint32_t i = 0; i < TARGETS; i++) {
-			struct lod_pending_count w = {i, 1, told_us[i]};
+			struct lod_pending_count w = {i, 1, broadcast_us[i]};
 
-			g_array_append_val(waiting, w);
+			g_array_append_val(pending, w);
 		}
 		g_assert_cmpuint(
-			lod_counts_select_oldest(waiting, LOD_COUNTS_MAX), ==,
+			lod_counts_select_oldest(pending, LOD_COUNTS_MAX), ==,
 			TARGETS - LOD_COUNTS_MAX);
-		g_assert_cmpuint(waiting->len, ==, LOD_COUNTS_MAX);
-		for (guint i = 0; i < waiting->len; i++)
-			told_us[g_array_index(waiting, struct lod_pending_count,
-					      i)
-					.target] = now_us;
+		g_assert_cmpuint(pending->len, ==, LOD_COUNTS_MAX);
+		for (guint i = 0; i < pending->len; i++)
+			broadcast_us[g_array_index(pending,
+						   struct lod_pending_count, i)
+					     .target] = now_us;
 	}
 	for (int i = 0; i < TARGETS; i++)
-		g_assert_cmpint(told_us[i], >, 0);
+		g_assert_cmpint(broadcast_us[i], >, 0);
 }
 
 int main(int argc, char **argv)
