--- a/src/lod.c
+++ b/src/lod.c
@@ -1,8 +1,10 @@
 #include "lod_impl.h"
 
-/* Of the fleet's budget a part is kept back for what is not known here yet. */
+/* Share of the fleet's retry budget that may be used. The rest is a margin for
+ * retries of other nodes that are not received yet. */
 #define BUDGET_USABLE_SHARE 0.85
-/* The unserved share is that of about the last second: of so many requests. */
+/* The unserved share is a moving average over the requests of about one second,
+ * within these bounds. */
 #define UNSERVED_WINDOW_MIN 20.0
 #define UNSERVED_WINDOW_MAX 200.0
 
@@ -138,7 +140,8 @@
 		bud_count_retry(&stats->budget, &lod->rule, now_us);
 }
 
-/* Sets what others have at a target: all domains' counts but this node's. */
+/* Sets the in-flight requests of other nodes at a target: the sum over all
+ * domains less this node's. */
 static void update_others(struct lod *lod, uint32_t hash)
 {
 	struct dir_target *target = dir_target_by_hash(lod->dir, hash);
@@ -192,7 +195,7 @@
 		 (int32_t)(packet->serial - domain->serial) <= 0));
 }
 
-/* Tells the feed task of another reader. */
+/* Notifies the feed task of another node's feed state. */
 static void notify_feed(struct lod *lod, const struct lod_packet *packet)
 {
 	struct msg *m =
@@ -258,7 +261,7 @@
 	ctr_count(lod->node->ctr, "lod_counts_lapsed", expired->len);
 }
 
-/* A target without requests is told once, for the time of its last send. */
+/* A target without requests is reported once, for the time of its last send. */
 static void add_own_counts(struct lod *lod, struct lod_packet *packet,
 			   int64_t now_us)
 {
@@ -337,7 +340,8 @@
 		   lod->domain_nodes * LOD_REPORT_INTERVAL_PER_NODE_US);
 }
 
-/* Failures do not wait for the tick: report, and tell as a hub. */
+/* Sends failures before the next tick: reports them, and broadcasts them as a
+ * hub. */
 static void on_flush(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct lod *lod = timer->data;
--- a/src/lod.h
+++ b/src/lod.h
@@ -36,32 +36,36 @@
 struct lod *lod_new(struct node *node, struct dir *dir);
 void lod_free(struct lod *lod);
 
-/** Notes that this node has one more or one less request at a target. */
+/** Schedules a report of this node's in-flight requests at a target. */
 void lod_in_flight_changed(struct lod *lod, struct dir_target *target);
 
-/** Notes an outcome. @param took_us  of a good one, else 0 */
+/**
+ * Applies an outcome here and queues it for the next report.
+ * @param latency_us  of a success, else 0
+ */
 void lod_record_outcome(struct lod *lod, struct dir_target *target,
 			enum gry_outcome outcome, int64_t latency_us);
 
-/** Notes requests and repeats that this node sent a service, and requests
+/** Counts requests and retries that this node sent to a service, and requests
  *  that ended unserved. */
 void lod_record_requests(struct lod *lod, const char *service,
 			 uint32_t requests, uint32_t retries,
 			 uint32_t unserved);
 
-/** Returns the share of a service's requests that ends unserved now, in the
- *  whole fleet. */
+/** Returns the fleet-wide share of a service's requests that ended unserved
+ *  within about the last second. */
 double lod_unserved_share(const struct lod *lod, const char *service);
 
-/** Returns how many requests a second callers send a service, in the whole
- *  fleet. */
+/** Returns the fleet-wide rate of callers' requests for a service, per
+ *  second. */
 double lod_request_rate(struct lod *lod, const char *service, int64_t now_us);
 
-/** Returns the mean time of good answers of a service, 0 if unknown. */
+/** Returns the mean latency of a service's successful answers in
+ *  microseconds, 0 if unknown. */
 int64_t lod_mean_latency(const struct lod *lod, const char *service);
 
-/** Returns how many repeats the whole fleet has left for a service, as far as
- *  it is known here. */
+/** Returns how many retries the fleet has left for a service, by the counts
+ *  that this node received. */
 double lod_retry_budget_left(struct lod *lod, const char *service,
 			     const struct bud_rule *rule, int64_t now_us);
 
--- a/src/lod_counts.c
+++ b/src/lod_counts.c
@@ -1,6 +1,6 @@
 #include "lod_counts.h"
 
-/** One target. */
+/** In-flight requests at one target. */
 struct row {
 	uint32_t requests;
 	int64_t updated_us;
--- a/src/lod_counts.h
+++ b/src/lod_counts.h
@@ -27,21 +27,24 @@
 /** Returns the requests at a target. */
 uint32_t lod_counts_get(const struct lod_counts *counts, uint32_t target);
 
-/** Drops counts last told before @p before_us. @param lapsed  uint32_t, the
+/** Drops counts last set before @p before_us. @param expired  uint32_t, the
  *  targets are appended */
 void lod_counts_expire(struct lod_counts *counts, int64_t before_us,
 		       GArray *expired);
 
-/** A count that waits to be told. */
+/** A count that waits to be broadcast. */
 struct lod_pending_count {
 	uint32_t target;
 	uint32_t requests;
-	int64_t broadcast_us; /* when this target was told last */
+	int64_t broadcast_us; /* last broadcast of this target */
 };
 
-/** Keeps the @p max counts that were told longest ago, in that order, and drops
- *  the others: each gets its turn. @param waiting  struct lod_pending_count
- *  @return how many are dropped */
+/**
+ * Keeps the @p max counts with the oldest broadcasts, oldest first, and drops
+ * the others. Dropped counts are older the next time, so none is starved.
+ * @param pending  struct lod_pending_count
+ * @return how many are dropped
+ */
 guint lod_counts_select_oldest(GArray *pending, guint max);
 
 #endif
--- a/src/lod_hub.c
+++ b/src/lod_hub.c
@@ -20,7 +20,7 @@
 	       now_us - lod->hub_last_rx_us > LOD_HUB_TIMEOUT_US;
 }
 
-/* Returns the pause between digests while failures are to be told. */
+/* Returns the interval between digests while failures wait. */
 static int64_t urgent_interval_us(const struct lod *lod)
 {
 	return MAX(LOD_URGENT_DIGEST_INTERVAL_US,
@@ -71,7 +71,7 @@
 {
 	struct lod_peer *peer = peer_of(lod, packet->sender);
 
-	/* Datagrams may overtake each other. */
+	/* Datagrams may arrive out of order. */
 	if (peer->incarnation > packet->incarnation ||
 	    (peer->incarnation == packet->incarnation &&
 	     (int32_t)(packet->serial - peer->serial) <= 0))
@@ -142,7 +142,7 @@
 	return totals;
 }
 
-/* Notes what changed, and what was not told for a while. */
+/* Adds a count that changed or is due to be resent. */
 static void add_if_due(struct lod *lod, GArray *pending, void *target,
 		       uint32_t requests, int64_t now_us)
 {
@@ -169,7 +169,8 @@
 	while (g_hash_table_iter_next(&iter, &target, &value))
 		add_if_due(lod, pending, target, GPOINTER_TO_UINT(value),
 			   now_us);
-	/* A target without requests is told once, then forgotten. */
+	/* A target without requests is broadcast once, then removed after
+	 * LOD_REFRESH_INTERVAL_US. */
 	g_hash_table_iter_init(&iter, lod->last_broadcasts);
 	while (g_hash_table_iter_next(&iter, &target, &value)) {
 		struct lod_last_broadcast *last = value;
@@ -225,8 +226,9 @@
 	}
 }
 
-/* Sends a digest to the hubs of the other domains; to the second choice, which
- * only listens as long as the first one speaks, now and then. */
+/* Sends a digest to the active hubs of the other domains, and one in
+ * LOD_STANDBY_DIGEST_RATIO to their standbys, which forward none while
+ * passive. */
 static void send_to_other_domains(struct lod *lod, const GByteArray *data)
 {
 	g_autoptr(GHashTable) seen = g_hash_table_new(g_str_hash, g_str_equal);
@@ -271,7 +273,7 @@
 {
 	if (!is_hub(lod))
 		return;
-	/* The second choice drops what the first one tells. */
+	/* While passive, the standby drops what the active hub broadcasts. */
 	if (!lod_hub_is_active(lod, now_us)) {
 		lod_queue_discard(&lod->hub_evidence);
 		g_hash_table_remove_all(lod->hub_service_counts);
--- a/src/lod_impl.h
+++ b/src/lod_impl.h
@@ -25,8 +25,9 @@
  * them, so that it sends at most 500 urgent datagrams/s. */
 #define LOD_URGENT_DIGEST_INTERVAL_US (40 * FS_US_PER_MS)
 #define LOD_URGENT_DIGEST_PER_NODE_US (2 * FS_US_PER_MS)
-/* Of the digests for another domain, the second choice there gets one in so
- * many: with five a second the news is no older than its silence. */
+/* The standby hub of another domain gets one in so many digests: one each
+ * 0.8 s at LOD_DIGEST_INTERVAL_US, so that its data is hardly older than
+ * LOD_HUB_TIMEOUT_US. */
 #define LOD_STANDBY_DIGEST_RATIO 4u
 /* An older state of the feed task is not sent with digests. */
 #define LOD_FEED_MAX_AGE_US (300 * FS_US_PER_MS)
@@ -41,10 +42,10 @@
 	GHashTable *counts; /* target hash to requests */
 };
 
-/** Where the digests of a failure domain stand. */
+/** Latest digest and counts of a failure domain. */
 struct lod_domain {
 	uint32_t hash;
-	uint64_t incarnation; /* of the hub heard last */
+	uint64_t incarnation; /* of the sender of the latest digest */
 	node_id hub;
 	uint32_t serial;
 	struct lod_counts counts; /* requests in that domain */
@@ -59,14 +60,14 @@
 /** Fleet-wide requests for a service. */
 struct lod_service_stats {
 	struct bud budget;
-	double unserved; /* share of requests, of the last fifty or so */
+	double unserved; /* share of requests, over about one second */
 };
 
 /** What a hub last broadcast of a target. */
 struct lod_last_broadcast {
 	uint32_t requests;
 	int64_t at_us;
-	int64_t sent_us; /* last send in the domain, as reported */
+	int64_t sent_us; /* last request sent from this domain, as reported */
 };
 
 struct lod {
@@ -79,38 +80,37 @@
 	ev_io io;
 	uint32_t serial;
 	/* This node */
-	GHashTable *
-		reported_counts; /* target hash to requests, as last reported */
+	GHashTable *reported_counts;	/* target hash to requests */
 	GHashTable *unreported_targets; /* target hashes for the next report */
 	struct lod_queue evidence;	/* to be reported */
-	ev_timer flush_timer;		/* tells of failures between ticks */
-	GHashTable
-		*service_counts; /* service hash to struct lod_service_counts */
+	ev_timer flush_timer;		/* sends failures between ticks */
+	/* service hash to struct lod_service_counts */
+	GHashTable *service_counts;
 	bool changed;
-	bool urgent; /* an outcome that others should know at once */
+	bool urgent; /* evidence waits that is to be reported at once */
 	int64_t reported_us;
-	/* What is known */
+	/* The fleet, from digests */
 	GHashTable *domains; /* hash to struct lod_domain */
-	GHashTable *
-		path_fault_shares; /* as a hub: node_id * to double *, lod_judge.c */
+	/* as a hub: node_id * to double *, lod_judge.c */
+	GHashTable *path_fault_shares;
 	GHashTable *mean_latencies; /* service name to struct lod_mean_latency */
 	GHashTable *service_stats; /* service hash to struct lod_service_stats */
 	struct bud_rule rule;
 	/* As a hub */
-	node_id hubs[2]; /* of this domain: first and second choice */
+	node_id hubs[2]; /* of this domain: active and standby */
 	uint32_t domain_nodes;
 	GHashTable *peers; /* node_id * to struct lod_peer */
-	GHashTable
-		*last_broadcasts; /* target hash to struct lod_last_broadcast */
-	struct lod_queue hub_evidence; /* to be told */
-	GHashTable *
-		hub_service_counts; /* service hash to struct lod_service_counts */
+	/* target hash to struct lod_last_broadcast */
+	GHashTable *last_broadcasts;
+	struct lod_queue hub_evidence; /* to be broadcast */
+	/* service hash to struct lod_service_counts */
+	GHashTable *hub_service_counts;
 	int64_t digest_us;
 	int64_t use_logged_us;
-	uint32_t digests_sent;	/* sent so far */
+	uint32_t digests_sent;
 	int64_t hub_last_rx_us; /* last digest of this domain's hub */
 	struct lod_feed feed;	/* of this node's feed task */
-	int64_t feed_us;	/* when it was told */
+	int64_t feed_us;	/* when it was received */
 	handle sent, received, refused;
 	handle counts_left; /* counts that did not fit in a datagram */
 };
@@ -123,14 +123,15 @@
 
 /* Health evaluation (lod_judge.c) */
 
-/** Applies outcomes to a target that this node sees. */
+/** Applies outcomes to a target. Unknown targets are ignored. @param own
+ *  observed by this node */
 void lod_evidence_apply(struct lod *lod, const struct lod_evidence *e,
 			bool own);
-/** Adds an outcome to a queue, by what is known here of its target. */
+/** Queues an outcome, with priority if its target is degraded. */
 void lod_evidence_enqueue(const struct lod *lod, struct lod_queue *queue,
 			  const struct lod_evidence *e);
-/** Takes a node's outcome into account for how far its way is to be trusted.
- *  @return whether the outcome counts */
+/** Updates the share of path failures among a node's outcomes.
+ *  @return whether the outcome is to be forwarded */
 bool lod_evidence_is_reliable(struct lod *lod, const struct lod_evidence *e);
 
 /* This domain's hub (lod_hub.c) */
@@ -138,11 +139,11 @@
 void lod_hub_receive_report(struct lod *lod, const struct lod_packet *packet,
 			    int64_t now_us);
 void lod_hub_tick(struct lod *lod, int64_t now_us);
-/** Tells of failures, if any wait. @return when to try again, 0: none wait */
+/** Broadcasts a digest if failures or successes of degraded targets wait.
+ *  @return when to call again, 0: none wait */
 int64_t lod_hub_flush(struct lod *lod, int64_t now_us);
 
-/** Writes a line a service now and then: how its targets are used
- *  (lod_use.c). */
+/** Periodically logs how the targets of each service are used (lod_use.c). */
 void lod_log_service_use(struct lod *lod, int64_t now_us);
 
 /* Datagrams (lod_net.c) */
@@ -167,7 +168,8 @@
 /** Schedules a flush of pending failures before the next tick. */
 void lod_schedule_flush(struct lod *lod, int64_t at_us, int64_t now_us);
 
-/** Adds sends to a table of struct lod_service_counts. */
+/** Adds counts to those of the same service in a table of struct
+ *  lod_service_counts. */
 void lod_add_service_counts(GHashTable *table,
 			    const struct lod_service_counts *service_counts);
 
--- a/src/lod_judge.c
+++ b/src/lod_judge.c
@@ -2,24 +2,26 @@
 
 #include "fs_log.h"
 
-/* How far an outcome that another node told counts. A failure answer is the
- * target's. What that node's own way to it may explain counts little: a node
- * that is cut from a target alone goes on telling of it. The hub does not pass
- * it on once two in five of that node's outcomes are of that kind. */
+/* Weights of outcomes that other nodes report and that a fault of their network
+ * path may cause: a node that alone cannot reach a target keeps reporting it.
+ * Other outcomes, such as a failure answer, are the target's and count fully. A
+ * hub forwards no path failures of a node once two in five of its outcomes are
+ * path failures. */
 #define PATH_FAULT_WEIGHT 0.25
 #define UNREACHABLE_WEIGHT 0.05
 #define PATH_FAULT_SHARE_MAX 0.4
-#define PATH_FAULT_SHARE_ALPHA \
-	0.15 /* of one more outcome in a node's share of them */
+/* smoothing factor of that share, per outcome */
+#define PATH_FAULT_SHARE_ALPHA 0.15
 
-#define MEAN_LATENCY_ALPHA \
-	0.03 /* of one more answer in a service's mean time */
-/* The first answers count by their number, and say nothing of slowness. */
+/* smoothing factor of a service's mean latency, per answer */
+#define MEAN_LATENCY_ALPHA 0.03
+/* The first answers are averaged with equal weights, and do not update the
+ * slowness of their targets. */
 #define MEAN_LATENCY_WARMUP 20
-/* Good answers of a target that fails more often than any other may are told
- * before those of the others. */
+/* Successes of a target with a higher probability of failure than this are sent
+ * before those of other targets. */
 #define DEGRADED_PROBABILITY 0.05
-/* Such an answer did no work; it says nothing about the time that work takes. */
+/* Faster answers did no work: they update neither mean latency nor slowness. */
 #define WORK_LATENCY_MIN_US (10 * FS_US_PER_MS)
 
 bool lod_evidence_is_reliable(struct lod *lod, const struct lod_evidence *e)
@@ -55,7 +57,7 @@
 			  queue->dropped - dropped);
 }
 
-/* How far an outcome that another node told counts here. */
+/* Returns the weight of an outcome that another node reported. */
 static double evidence_weight(const struct lod_evidence *e)
 {
 	if (!gry_may_be_path_fault(e->outcome))
--- a/src/lod_net.c
+++ b/src/lod_net.c
@@ -6,7 +6,7 @@
 #include "fs_log.h"
 #include "lod_impl.h"
 
-#define DATAGRAMS_PER_WAKEUP_MAX 128 /* datagrams of one turn of the loop */
+#define DATAGRAMS_PER_WAKEUP_MAX 128 /* datagrams per event of the socket */
 
 static void send_to(struct lod *lod, const GByteArray *data,
 		    const struct mem_member *m)
@@ -14,7 +14,7 @@
 	struct sockaddr_in to = m->peer;
 
 	to.sin_port = lod->port;
-	/* Lost, as datagrams may be. */
+	/* Errors are ignored: datagrams may be lost anyway. */
 	(void)sendto(lod->fd, data->data, data->len, 0,
 		     (const struct sockaddr *)&to, sizeof(to));
 	ctr_add(lod->node->ctr, lod->sent, 1);
@@ -51,7 +51,7 @@
 	}
 	if (packet->type != LOD_DIGEST || packet->sender == lod->node->self)
 		return;
-	/* A digest of another domain comes to the hub, which passes it on. */
+	/* The active hub forwards digests of other domains to its own. */
 	if (!local && lod_hub_is_active(lod, now_us)) {
 		g_autoptr(GByteArray) forwarded = g_byte_array_new();
 
--- a/src/lod_queue.c
+++ b/src/lod_queue.c
@@ -17,7 +17,7 @@
 	g_clear_pointer(&queue->successes, g_array_unref);
 }
 
-/* Adds to the row of the same target, if there is one. */
+/* Adds to the row of the same target and outcome, if there is one. */
 static bool merge_row(GArray *rows, const struct lod_evidence *e,
 		      bool same_origin)
 {
--- a/src/lod_queue.h
+++ b/src/lod_queue.h
@@ -12,31 +12,32 @@
 
 #include "lod_wire.h"
 
-/** Failures that wait; more than this are dropped and counted. */
+/** Rows of pending failures; more are dropped and counted. */
 #define LOD_QUEUE_FAILURES_MAX 512
 
 struct lod_queue {
 	GArray *failures;	    /* struct lod_evidence, oldest first */
-	GArray *degraded_successes; /* the same: good answers of targets in doubt */
-	GArray *successes;	    /* the same: all other good answers */
-	uint64_t dropped;	    /* failures that found no room */
+	GArray *degraded_successes; /* the same, of degraded targets */
+	GArray *successes;	    /* the same, of other targets */
+	uint64_t dropped;	    /* failures above LOD_QUEUE_FAILURES_MAX */
 };
 
 void lod_queue_init(struct lod_queue *queue);
 void lod_queue_clear(struct lod_queue *queue);
 
-/** Adds an outcome. @param in_doubt  the target is suspected, or was */
+/** Adds an outcome. @param degraded  the target has a raised probability of
+ *  failure (lod_judge.c) */
 void lod_queue_add(struct lod_queue *queue, const struct lod_evidence *e,
 		   bool degraded);
 
-/** Moves up to @p max rows to @p out, and drops what waits only as good news
- *  that changes nothing. */
+/** Moves rows to @p out until it has @p max, and drops the successes of other
+ *  than degraded targets that do not fit. */
 void lod_queue_dequeue(struct lod_queue *queue, GArray *out, guint max);
 
-/** Drops all. */
+/** Drops all rows. */
 void lod_queue_discard(struct lod_queue *queue);
 
-/** Returns how many rows wait that have to be told. */
+/** Returns how many rows of failures and of degraded targets wait. */
 guint lod_queue_pending(const struct lod_queue *queue);
 
 #endif
--- a/src/lod_use.c
+++ b/src/lod_use.c
@@ -1,15 +1,15 @@
 #include "fs_log.h"
 #include "lod_impl.h"
 
-/* The lines of hubs stay few beside those of requests. */
+/* Keeps these log lines few in comparison with those of requests. */
 #define USE_LOG_INTERVAL_US (2 * FS_US_PER_S)
-/* A target that nobody sent a request for so long has no share of the work. */
+/* A target is idle if no node sent it a request for this long. */
 #define IDLE_AFTER_US (2 * FS_US_PER_S)
 
-/** How the targets of one service are used. */
+/** Use of the targets of one service. */
 struct service_use {
 	uint32_t targets; /* that are not leaving */
-	uint32_t idle;	  /* no send known for USE_IDLE_US */
+	uint32_t idle;	  /* no known send within IDLE_AFTER_US */
 	uint32_t idle_at_work;
 	uint32_t idle_suspected;
 	uint32_t suspected;
--- a/src/lod_wire.c
+++ b/src/lod_wire.c
@@ -100,14 +100,15 @@
 	return out->len <= FS_DATAGRAM_MAX ? 0 : FS_E_INVALID;
 }
 
-/** Takes whole numbers one after the other; anything else sets bad. */
+/** Reads unsigned integers in sequence; any other type sets invalid. */
 struct reader {
 	const msgpack_object *next;
 	uint32_t remaining;
 	bool invalid;
 };
 
-/* A function, not an argument of a macro: each call takes one number. */
+/* Each call consumes one number. As an argument of a macro such as MIN it could
+ * be evaluated twice. */
 static uint64_t read_uint(struct reader *r, uint64_t max)
 {
 	uint64_t value;
--- a/src/lod_wire.h
+++ b/src/lod_wire.h
@@ -3,7 +3,8 @@
  * @brief Datagrams of the load exchange, encoded with msgpack and signed.
  *
  * A report comes from a node, a digest from a hub. Both carry the same kinds
- * of rows; rows that do not fit go with the next datagram.
+ * of rows; rows that do not fit go with the next datagram, except for successes
+ * of other than degraded targets (lod_queue.h).
  */
 #ifndef LOD_WIRE_H
 #define LOD_WIRE_H
@@ -20,20 +21,20 @@
 struct lod_target_count {
 	uint32_t target; /* dir_target.hash */
 	uint32_t requests;
-	int64_t sent_ago_us; /* since the last send; from LOD_SENT_AGO_MAX_US
-			      * on: not told */
+	int64_t sent_ago_us; /* since the last send; LOD_SENT_AGO_MAX_US or
+			      * more: unknown */
 };
 
-/** Outcomes at a target, seen by one node. */
+/** Outcomes at a target, observed by one node. */
 struct lod_evidence {
 	node_id origin;
 	uint32_t target;
 	enum gry_outcome outcome;
 	uint32_t count;
-	int64_t latency_sum_us; /* sum, of good outcomes */
+	int64_t latency_sum_us; /* of successes */
 };
 
-/** Sends to a service. */
+/** Requests and retries for a service. */
 struct lod_service_counts {
 	uint32_t service; /* hash of its name */
 	uint32_t requests;
@@ -41,7 +42,7 @@
 	uint32_t unserved;
 };
 
-/** How far the sender's feed task is; see fed.h. */
+/** State of the sender's feed task; see fed.h. */
 struct lod_feed {
 	uint64_t digest;
 	uint64_t config_version;
@@ -61,12 +62,12 @@
 	GArray *service_counts; /* struct lod_service_counts */
 };
 
-/** Sends are told in these steps, and as not told beyond the last step: this
- *  takes at most two bytes of each row. */
+/** Times since the last send are encoded in these steps, and as unknown from
+ *  the last step on, so that they take at most two bytes of each row. */
 #define LOD_SENT_AGO_STEP_US (10 * FS_US_PER_MS)
 #define LOD_SENT_AGO_MAX_US (255 * LOD_SENT_AGO_STEP_US)
 
-/** Room for rows in one datagram, by their largest size. */
+/** Rows that fit in one datagram at their largest size. */
 #define LOD_COUNTS_MAX 48
 #define LOD_EVIDENCE_MAX 24
 #define LOD_SERVICE_COUNTS_MAX 16
--- a/tests/unit_lod.c
+++ b/tests/unit_lod.c
@@ -1,5 +1,5 @@
-/* Datagrams of the load exchange: what comes back is what was sent, and what
- * is malformed or signed by others is refused. */
+/* Load exchange: encoding and decoding of datagrams, rejection of truncated and
+ * wrongly signed ones, the priority queue of outcomes, expiry of counts. */
 #include <string.h>
 
 #include "fs_err.h"
@@ -34,7 +34,8 @@
 	g_array_append_val(packet->service_counts, service_counts);
 }
 
-/* Each number is read once: a macro that read it twice shifted all rows. */
+/* Guards against a decoder that reads a number twice, as an argument of a
+ * macro, and so shifts all later rows. */
 static void test_round_trip(void)
 {
 	g_autoptr(GByteArray) data = g_byte_array_new();
@@ -133,8 +134,8 @@
 	};
 }
 
-/* Much good work while one target turns gray: its failure is in the next
- * datagram, whatever waits. */
+/* The failure of a target is in the next datagram, however many successes of
+ * other targets wait. */
 static void test_failures_are_told_first(void)
 {
 	g_autoptr(GArray)
@@ -158,14 +159,15 @@
 			 300);
 	g_assert_cmpuint(g_array_index(out, struct lod_evidence, 1).target, ==,
 			 200);
-	/* The rest only said that nothing has changed. */
+	/* Successes of other targets that did not fit are dropped. */
 	g_array_set_size(out, 0);
 	lod_queue_dequeue(&queue, out, 100);
 	g_assert_cmpuint(out->len, ==, 0);
 	lod_queue_clear(&queue);
 }
 
-/* Good answers of a target are one row; failures keep who saw them. */
+/* Successes of a target are merged into one row; failures are only merged with
+ * those of the same origin. */
 static void test_rows_are_merged(void)
 {
 	g_autoptr(GArray)
@@ -193,7 +195,7 @@
 	lod_queue_clear(&queue);
 }
 
-/* A fleet in which all fails does not fill the memory. */
+/* Memory stays bounded while all requests of the fleet fail. */
 static void test_queue_is_bounded(void)
 {
 	struct lod_queue queue;
@@ -209,8 +211,8 @@
 	lod_queue_clear(&queue);
 }
 
-/* A hub falls away right after it told of busy targets: the next one does not
- * take the counts back, but they lapse, and those that are repeated stay. */
+/* A hub fails right after it broadcast counts, and its successor does not reset
+ * them: counts that are not resent expire, the others stay. */
 static void test_counts_of_a_lost_hub_lapse(void)
 {
 	g_autoptr(GArray) expired = g_array_new(FALSE, FALSE, sizeof(uint32_t));
@@ -231,8 +233,8 @@
 	lod_counts_clear(&counts);
 }
 
-/* More counts change than a digest has room for: each target gets its turn, or
- * nodes would take those at the end for idle. */
+/* More counts change than fit in a digest: each target is broadcast in turn.
+ * Otherwise nodes would regard the last targets as idle. */
 static void test_every_count_gets_its_turn(void)
 {
 	enum {
