--- a/tests/unit_lod.c
+++ b/tests/unit_lod.c
@@ -1,5 +1,5 @@
-/* Datagrams of the load exchange: what comes back is what was sent, and what
- * is malformed or signed by others is refused. */
+/* Load exchange: encoding and decoding of datagrams, rejection of truncated and
+ * wrongly signed ones, the priority queue of outcomes, expiry of counts. */
 #include <string.h>
 
 #include "fs_err.h"
@@ -17,9 +17,9 @@
 		.target = 7,
 		.outcome = GRY_OVERDUE,
 		.count = 2,
-		.took_us = 1500,
+		.latency_sum_us = 1500,
 	};
-	struct lod_service_counts sends = {9, 10, 2, 1};
+	struct lod_service_counts service_counts = {9, 10, 2, 1};
 
 	lod_packet_init(packet, LOD_DIGEST);
 	packet->sender = 42;
@@ -31,10 +31,11 @@
 	packet->feed.fresh = true;
 	g_array_append_val(packet->counts, count);
 	g_array_append_val(packet->evidence, evidence);
-	g_array_append_val(packet->sends, sends);
+	g_array_append_val(packet->service_counts, service_counts);
 }
 
-/* Each number is read once: a macro that read it twice shifted all rows. */
+/* Guards against a decoder that reads a number twice, as an argument of a
+ * macro, and so shifts all later rows. */
 static void test_round_trip(void)
 {
 	g_autoptr(GByteArray) data = g_byte_array_new();
@@ -57,9 +58,10 @@
 	g_assert_cmpuint(e->target, ==, 7);
 	g_assert_cmpint(e->outcome, ==, GRY_OVERDUE);
 	g_assert_cmpuint(e->count, ==, 2);
-	g_assert_cmpint(e->took_us, ==, 1500);
-	g_assert_cmpmem(out.sends->data, sizeof(struct lod_service_counts),
-			in.sends->data, sizeof(struct lod_service_counts));
+	g_assert_cmpint(e->latency_sum_us, ==, 1500);
+	g_assert_cmpmem(
+		out.service_counts->data, sizeof(struct lod_service_counts),
+		in.service_counts->data, sizeof(struct lod_service_counts));
 	lod_packet_clear(&in);
 	lod_packet_clear(&out);
 }
@@ -94,13 +96,13 @@
 			g_array_index(packet.evidence, struct lod_evidence, 0);
 
 		e.target = UINT32_MAX;
-		e.took_us = 10 * FS_US_PER_S;
+		e.latency_sum_us = 10 * FS_US_PER_S;
 		g_array_append_val(packet.evidence, e);
 	}
 	for (int i = 1; i < LOD_SERVICE_COUNTS_MAX; i++) {
 		struct lod_service_counts s = {UINT32_MAX, 1000, 1000, 1000};
 
-		g_array_append_val(packet.sends, s);
+		g_array_append_val(packet.service_counts, s);
 	}
 	g_assert_cmpint(lod_wire_encode(&packet, KEY, data), ==, 0);
 	lod_packet_clear(&packet);
@@ -128,12 +130,12 @@
 		.target = target,
 		.outcome = what,
 		.count = 1,
-		.took_us = what == GRY_SUCCESS ? 1000 : 0,
+		.latency_sum_us = what == GRY_SUCCESS ? 1000 : 0,
 	};
 }
 
-/* Much good work while one target turns gray: its failure is in the next
- * datagram, whatever waits. */
+/* The failure of a target is in the next datagram, however many successes of
+ * other targets wait. */
 static void test_failures_are_told_first(void)
 {
 	g_autoptr(GArray)
@@ -157,14 +159,15 @@
 			 300);
 	g_assert_cmpuint(g_array_index(out, struct lod_evidence, 1).target, ==,
 			 200);
-	/* The rest only said that nothing has changed. */
+	/* Successes of other targets that did not fit are dropped. */
 	g_array_set_size(out, 0);
 	lod_queue_dequeue(&queue, out, 100);
 	g_assert_cmpuint(out->len, ==, 0);
 	lod_queue_clear(&queue);
 }
 
-/* Good answers of a target are one row; failures keep who saw them. */
+/* Successes of a target are merged into one row; failures are only merged with
+ * those of the same origin. */
 static void test_rows_are_merged(void)
 {
 	g_autoptr(GArray)
@@ -173,12 +176,12 @@
 
 	lod_queue_init(&queue);
 	for (int i = 0; i < 4; i++) {
-		struct lod_evidence good = outcome(7, GRY_SUCCESS);
-		struct lod_evidence bad = outcome(7, GRY_BROKEN);
+		struct lod_evidence success = outcome(7, GRY_SUCCESS);
+		struct lod_evidence failure = outcome(7, GRY_BROKEN);
 
-		good.origin = bad.origin = 1 + (node_id)i / 2;
-		lod_queue_add(&queue, &good, false);
-		lod_queue_add(&queue, &bad, true);
+		success.origin = failure.origin = 1 + (node_id)i / 2;
+		lod_queue_add(&queue, &success, false);
+		lod_queue_add(&queue, &failure, true);
 	}
 	lod_queue_dequeue(&queue, out, 100);
 	g_assert_cmpuint(out->len, ==, 3);
@@ -186,12 +189,13 @@
 			 2);
 	g_assert_cmpuint(g_array_index(out, struct lod_evidence, 2).count, ==,
 			 4);
-	g_assert_cmpint(g_array_index(out, struct lod_evidence, 2).took_us, ==,
-			4000);
+	g_assert_cmpint(
+		g_array_index(out, struct lod_evidence, 2).latency_sum_us, ==,
+		4000);
 	lod_queue_clear(&queue);
 }
 
-/* A fleet in which all fails does not fill the memory. */
+/* Memory stays bounded while all requests of the fleet fail. */
 static void test_queue_is_bounded(void)
 {
 	struct lod_queue queue;
@@ -207,11 +211,11 @@
 	lod_queue_clear(&queue);
 }
 
-/* A hub falls away right after it told of busy targets: the next one does not
- * take the counts back, but they lapse, and those that are repeated stay. */
+/* A hub fails right after it broadcast counts, and its successor does not reset
+ * them: counts that are not resent expire, the others stay. */
 static void test_counts_of_a_lost_hub_lapse(void)
 {
-	g_autoptr(GArray) lapsed = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	g_autoptr(GArray) expired = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	struct lod_counts counts;
 
 	lod_counts_init(&counts);
@@ -220,45 +224,45 @@
 	lod_counts_put(&counts, 3, 3, 0);
 	lod_counts_put(&counts, 3, 0, 1);
 	lod_counts_put(&counts, 2, 4, 100);
-	lod_counts_expire(&counts, 50, lapsed);
-	g_assert_cmpuint(lapsed->len, ==, 1);
-	g_assert_cmpuint(g_array_index(lapsed, uint32_t, 0), ==, 1);
+	lod_counts_expire(&counts, 50, expired);
+	g_assert_cmpuint(expired->len, ==, 1);
+	g_assert_cmpuint(g_array_index(expired, uint32_t, 0), ==, 1);
 	g_assert_cmpuint(lod_counts_get(&counts, 1), ==, 0);
 	g_assert_cmpuint(lod_counts_get(&counts, 2), ==, 4);
 	g_assert_cmpuint(lod_counts_get(&counts, 3), ==, 0);
 	lod_counts_clear(&counts);
 }
 
-/* More counts change than a digest has room for: each target gets its turn, or
- * nodes would take those at the end for idle. */
+/* More counts change than fit in a digest: each target is broadcast in turn.
+ * Otherwise nodes would regard the last targets as idle. */
 static void test_every_count_gets_its_turn(void)
 {
 	enum {
 		TARGETS = 200,
 		DIGESTS = (TARGETS + LOD_COUNTS_MAX - 1) / LOD_COUNTS_MAX,
 	};
-	int64_t told_us[TARGETS] = {0};
+	int64_t broadcast_us[TARGETS] = {0};
 
 	for (int64_t now_us = 1; now_us <= DIGESTS; now_us++) {
-		g_autoptr(GArray) waiting = g_array_new(
+		g_autoptr(GArray) pending = g_array_new(
 			FALSE, FALSE, sizeof(struct lod_pending_count));
 
 		for (uint32_t i = 0; i < TARGETS; i++) {
-			struct lod_pending_count w = {i, 1, told_us[i]};
+			struct lod_pending_count w = {i, 1, broadcast_us[i]};
 
-			g_array_append_val(waiting, w);
+			g_array_append_val(pending, w);
 		}
 		g_assert_cmpuint(
-			lod_counts_select_oldest(waiting, LOD_COUNTS_MAX), ==,
+			lod_counts_select_oldest(pending, LOD_COUNTS_MAX), ==,
 			TARGETS - LOD_COUNTS_MAX);
-		g_assert_cmpuint(waiting->len, ==, LOD_COUNTS_MAX);
-		for (guint i = 0; i < waiting->len; i++)
-			told_us[g_array_index(waiting, struct lod_pending_count,
-					      i)
-					.target] = now_us;
+		g_assert_cmpuint(pending->len, ==, LOD_COUNTS_MAX);
+		for (guint i = 0; i < pending->len; i++)
+			broadcast_us[g_array_index(pending,
+						   struct lod_pending_count, i)
+					     .target] = now_us;
 	}
 	for (int i = 0; i < TARGETS; i++)
-		g_assert_cmpint(told_us[i], >, 0);
+		g_assert_cmpint(broadcast_us[i], >, 0);
 }
 
 int main(int argc, char **argv)
