--- a/src/ent.c
+++ b/src/ent.c
@@ -5,13 +5,13 @@
 #define CONNECTION_MEMORY (64 * 1024) /* bytes; header fields both ways */
 
 /* Budgets of services that are gone are dropped. */
-static gboolean is_gone(void *name, void *budget, void *cfg)
+static gboolean is_removed_service(void *name, void *budget, void *cfg)
 {
 	(void)budget;
 	return cfg_find_service(cfg, name) == FS_NONE;
 }
 
-static void take_config(struct ent *ent, struct cfg *cfg)
+static void apply_config(struct ent *ent, struct cfg *cfg)
 {
 	shd_map_free(ent->map);
 	g_free(ent->loads);
@@ -19,10 +19,10 @@
 	ent->cfg = cfg_ref(cfg);
 	ent->map = shd_map_new(cfg);
 	ent->loads = g_new0(struct ent_load, ent->map->count + 1);
-	g_hash_table_foreach_remove(ent->budgets, is_gone, cfg);
+	g_hash_table_foreach_remove(ent->budgets, is_removed_service, cfg);
 }
 
-static void take_view(struct ent *ent, struct mem_view *view)
+static void apply_view(struct ent *ent, struct mem_view *view)
 {
 	mem_view_unref(ent->view);
 	ent->view = mem_view_ref(view);
@@ -46,10 +46,10 @@
 		ent_lost_link(ent, m->link_down.node, now_us);
 		break;
 	case MSG_CONFIG:
-		take_config(ent, m->config.cfg);
+		apply_config(ent, m->config.cfg);
 		break;
 	case MSG_VIEW:
-		take_view(ent, m->view.view);
+		apply_view(ent, m->view.view);
 		break;
 	case MSG_STOP:
 		ent_stop_begin(ent, now_us);
@@ -73,7 +73,7 @@
 		out,
 		"{\"requests\":%u,\"in_flight\":%u,\"connections\":%u,"
 		"\"body_bytes\":%zu,\"leaving\":%s}",
-		ent->open, g_hash_table_size(ent->requests),
+		ent->open_requests, g_hash_table_size(ent->requests),
 		htd_connections(ent->htd), ent->body_bytes,
 		ent->stop_us ? "true" : "false");
 }
@@ -89,8 +89,8 @@
 
 	ent->node = node;
 	ent->requests = g_hash_table_new(g_int64_hash, g_int64_equal);
-	ent->down = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					  g_free);
+	ent->link_down_us = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						  g_free, g_free);
 	ent->budgets =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	ent->random =
@@ -110,10 +110,10 @@
 /* MHD may not be stopped while connections are suspended. */
 static void end_requests(struct ent *ent)
 {
-	g_autoptr(GList) all = g_hash_table_get_values(ent->requests);
+	g_autoptr(GList) requests = g_hash_table_get_values(ent->requests);
 	int64_t now_us = fs_now_us();
 
-	for (GList *l = all; l; l = l->next) {
+	for (GList *l = requests; l; l = l->next) {
 		struct ent_request *req = l->data;
 
 		if (req->state == ENT_STREAMING)
@@ -133,7 +133,7 @@
 		ev_timer_stop(ent->node->loop, &ent->stop_timer);
 	htd_stop(ent->htd);
 	g_hash_table_unref(ent->requests);
-	g_hash_table_unref(ent->down);
+	g_hash_table_unref(ent->link_down_us);
 	g_hash_table_unref(ent->budgets);
 	g_rand_free(ent->random);
 	shd_map_free(ent->map);
--- a/src/ent.h
+++ b/src/ent.h
@@ -47,14 +47,14 @@
 
 /** Body of a streamed answer between dispatcher and caller. */
 struct ent_stream {
-	GQueue pieces;	   /* GBytes */
-	size_t taken;	   /* bytes of the first piece that the caller has */
-	size_t buffered;   /* bytes of all pieces that it does not have */
-	uint64_t received; /* offset of the next piece */
-	int64_t length;	   /* -1: not known before */
-	uint32_t credit;   /* bytes taken and not told yet */
-	bool last;	   /* the last piece has come */
-	bool cut;	   /* the rest will not come */
+	GQueue pieces;	      /* GBytes */
+	size_t head_consumed; /* bytes of the first piece that the caller has */
+	size_t buffered;      /* bytes of all pieces that it does not have */
+	uint64_t received;    /* offset of the next piece */
+	int64_t length;	      /* -1: not known before */
+	uint32_t unreported_bytes; /* bytes taken and not told yet */
+	bool last;		   /* the last piece has come */
+	bool aborted;		   /* the rest will not come */
 };
 
 /** One request of a caller, from its first line until MHD is done with it. */
@@ -72,8 +72,8 @@
 	GArray *headers;
 	GByteArray *body;
 	struct ent_head head;
-	bool begun; /* header fields are checked */
-	int err;    /* found while the body was read */
+	bool head_checked; /* header fields are checked */
+	int err;	   /* found while the body was read */
 	uint32_t body_max;
 	uint64_t body_bytes; /* seen, also past the limit */
 	/* Where it goes */
@@ -82,8 +82,8 @@
 	handle service;
 	handle shard;
 	node_id node; /* that has it now */
-	node_id used[ENT_NODES_MAX];
-	uint32_t used_count;
+	node_id tried_nodes[ENT_NODES_MAX];
+	uint32_t tried_nodes_count;
 	uint32_t tries; /* nodes that may have run it */
 	uint32_t moves; /* to another shard */
 	bool ambiguous; /* a lost dispatcher may have run it as well */
@@ -92,10 +92,10 @@
 	struct MHD_Response *response;
 	unsigned int status;
 	struct ent_stream stream;
-	bool good; /* no server error */
+	bool succeeded; /* no server error */
 	char *server;
-	uint32_t targets; /* tried, as the dispatcher told */
-	bool noted;
+	uint32_t target_attempts; /* tried, as the dispatcher told */
+	bool end_recorded;
 	/* Watchers */
 	ev_timer timer;
 	struct htd_gone gone; /* the caller's socket, while suspended */
@@ -108,15 +108,15 @@
 	struct shd_map *map;
 	struct ent_load *loads; /* by shard */
 	struct mem_view *view;
-	GHashTable *requests; /* counter to struct ent_request */
-	GHashTable *down;     /* node_id to int64_t: last broken link */
-	GHashTable *budgets;  /* service name to struct rty_budget */
+	GHashTable *requests;	  /* counter to struct ent_request */
+	GHashTable *link_down_us; /* node_id to int64_t: last broken link */
+	GHashTable *budgets;	  /* service name to struct rty_budget */
 	GRand *random;
 	uint64_t counter;
-	uint32_t open; /* requests that MHD knows */
+	uint32_t open_requests; /* requests that MHD knows */
 	size_t body_bytes;
-	int64_t stop_us;  /* end of the answers that name this node; 0: none */
-	int64_t quiet_us; /* since when nothing is in flight */
+	int64_t stop_us; /* end of the answers that name this node; 0: none */
+	int64_t idle_since_us; /* since when nothing is in flight */
 	bool stopped;
 	ev_timer stop_timer;
 };
@@ -215,7 +215,7 @@
 
 /** Records whether a request is sent to another dispatcher after a loss. */
 void ent_record_retry(const struct ent_request *req, bool allowed,
-		      const struct rty_input *numbers, int64_t now_us);
+		      const struct rty_input *input, int64_t now_us);
 
 /* Entry addresses (ent_entries.c). */
 
@@ -228,7 +228,7 @@
  * @return how many were chosen
  */
 uint32_t ent_entries_pick(const struct mem_view *view, const char *caller,
-			  node_id without,
+			  node_id excluded,
 			  const struct mem_member *out[ENT_ENTRIES_MAX]);
 
 /* Planned stop (ent_stop.c). */
--- a/src/ent_answer.c
+++ b/src/ent_answer.c
@@ -2,16 +2,16 @@
 
 #include "ent.h"
 
-static void add(struct MHD_Response *response, const char *name,
-		const char *value)
+static void add_header(struct MHD_Response *response, const char *name,
+		       const char *value)
 {
 	MHD_add_response_header(response, name, value);
 }
 
 /* Once a lost dispatcher may have run a request, what another one says of its
  * own part is not the whole truth. */
-static enum fs_outcome true_outcome(const struct ent_request *req,
-				    enum fs_outcome outcome)
+static enum fs_outcome effective_outcome(const struct ent_request *req,
+					 enum fs_outcome outcome)
 {
 	return req->ambiguous && outcome == FS_NOT_RUN ? FS_UNKNOWN : outcome;
 }
@@ -23,11 +23,11 @@
 	char text[64];
 
 	aud_request_text(&req->id, text, sizeof(text));
-	outcome = true_outcome(req, outcome);
-	add(response, "Fescuesaddle-Outcome", fs_outcome_name(outcome));
-	add(response, "Fescuesaddle-Request", text);
+	outcome = effective_outcome(req, outcome);
+	add_header(response, "Fescuesaddle-Outcome", fs_outcome_name(outcome));
+	add_header(response, "Fescuesaddle-Request", text);
 	if (req->ent->node->stopping || req->ent->stop_us)
-		add(response, "Connection", "close");
+		add_header(response, "Connection", "close");
 	g_clear_pointer(&req->response, MHD_destroy_response);
 	req->response = response;
 	req->status = status;
@@ -36,12 +36,12 @@
 
 bool ent_answer_headers(struct MHD_Response *response, const GArray *headers)
 {
-	g_autoptr(GArray) kept = ent_check_copy_end_to_end(headers);
+	g_autoptr(GArray) passed_on = ent_check_copy_end_to_end(headers);
 	size_t bytes = 0;
 
-	for (guint i = 0; i < kept->len; i++) {
+	for (guint i = 0; i < passed_on->len; i++) {
 		const struct msg_header *h =
-			&g_array_index(kept, struct msg_header, i);
+			&g_array_index(passed_on, struct msg_header, i);
 
 		bytes += strlen(h->name) + strlen(h->value) + 4;
 		if (bytes > FS_HEADER_BYTES_MAX ||
@@ -68,7 +68,7 @@
 }
 
 /* Refusals that pass by themselves get a time after which to come back. */
-static bool passes(int err)
+static bool is_transient(int err)
 {
 	return err == FS_E_NOT_READY || err == FS_E_ENTRY_FULL ||
 	       err == FS_E_NO_DISPATCHER || err == FS_E_NOT_OWNER ||
@@ -82,10 +82,10 @@
 	int64_t s = (retry_after_us + FS_US_PER_S - 1) / FS_US_PER_S;
 	g_autofree char *text = NULL;
 
-	if (s <= 0 && !passes(err))
+	if (s <= 0 && !is_transient(err))
 		return;
 	text = g_strdup_printf("%" G_GINT64_FORMAT, MAX(s, (int64_t)1));
-	add(response, "Retry-After", text);
+	add_header(response, "Retry-After", text);
 }
 
 /* MHD reads no further request from a connection whose body it has not read
@@ -105,7 +105,7 @@
 	struct MHD_Response *response;
 	char *body;
 
-	outcome = true_outcome(req, outcome);
+	outcome = effective_outcome(req, outcome);
 	body = refusal_body(req, row, outcome);
 	response = MHD_create_response_from_buffer(strlen(body), body,
 						   MHD_RESPMEM_MUST_FREE);
@@ -114,10 +114,10 @@
 	ctr_count(req->ent->node->ctr, name, 1);
 	ent_request_record_end(req, row->name, now_us);
 	ent_request_end(req);
-	add(response, "Content-Type", "application/json");
-	add(response, "Fescuesaddle-Error", row->name);
+	add_header(response, "Content-Type", "application/json");
+	add_header(response, "Fescuesaddle-Error", row->name);
 	add_retry_after(response, err, retry_after_us);
 	if (must_close(err))
-		add(response, "Connection", "close");
+		add_header(response, "Connection", "close");
 	ent_answer_set_response(req, response, row->status, outcome);
 }
--- a/src/ent_check.c
+++ b/src/ent_check.c
@@ -13,7 +13,7 @@
 	return true;
 }
 
-static bool is_value(const char *text)
+static bool is_field_value(const char *text)
 {
 	for (const unsigned char *p = (const unsigned char *)text; *p; p++) {
 		if ((*p < 0x20 && *p != '\t') || *p == 0x7f)
@@ -56,7 +56,7 @@
 }
 
 /** Fields that may come once only. */
-struct singles {
+struct single_fields {
 	const char *host;
 	const char *length;
 	const char *coding;
@@ -65,7 +65,7 @@
 };
 
 /* Notes a field that may come once. Returns false if it came before. */
-static bool note_single(struct singles *s, const struct msg_header *h)
+static bool record_single(struct single_fields *s, const struct msg_header *h)
 {
 	const struct {
 		const char *name;
@@ -88,21 +88,21 @@
 	return true;
 }
 
-static int check_singles(const char *version, const struct singles *s,
+static int check_singles(const char *version, const struct single_fields *s,
 			 struct ent_head *out)
 {
-	bool old = !strcmp(version, "HTTP/1.0");
+	bool is_http_1_0 = !strcmp(version, "HTTP/1.0");
 
-	if (!old && strcmp(version, "HTTP/1.1") != 0)
+	if (!is_http_1_0 && strcmp(version, "HTTP/1.1") != 0)
 		return FS_E_BAD_REQUEST;
-	if ((!s->host && !old) || (s->host && !is_host(s->host)))
+	if ((!s->host && !is_http_1_0) || (s->host && !is_host(s->host)))
 		return FS_E_BAD_REQUEST;
 	if (s->key && !is_key(s->key))
 		return FS_E_BAD_REQUEST;
 	if (s->expect && g_ascii_strcasecmp(s->expect, "100-continue") != 0)
 		return FS_E_BAD_REQUEST;
-	if (s->coding &&
-	    (old || s->length || g_ascii_strcasecmp(s->coding, "chunked") != 0))
+	if (s->coding && (is_http_1_0 || s->length ||
+			  g_ascii_strcasecmp(s->coding, "chunked") != 0))
 		return FS_E_BAD_REQUEST;
 	out->body_length = s->coding ? -1 : 0;
 	if (s->length && !parse_length(s->length, &out->body_length))
@@ -115,27 +115,27 @@
 int ent_check_headers(const char *version, const GArray *headers,
 		      struct ent_head *out)
 {
-	struct singles singles = {0};
+	struct single_fields fields = {0};
 	size_t bytes = 0;
 
 	for (guint i = 0; i < headers->len; i++) {
 		const struct msg_header *h =
 			&g_array_index(headers, struct msg_header, i);
 
-		if (!is_token(h->name) || !is_value(h->value))
+		if (!is_token(h->name) || !is_field_value(h->value))
 			return FS_E_BAD_REQUEST;
-		if (!note_single(&singles, h))
+		if (!record_single(&fields, h))
 			return FS_E_BAD_REQUEST;
 		bytes += strlen(h->name) + strlen(h->value) + 4;
 	}
 	if (headers->len > FS_HEADERS_MAX || bytes > FS_HEADER_BYTES_MAX)
 		return FS_E_HEADERS_TOO_LARGE;
-	return check_singles(version, &singles, out);
+	return check_singles(version, &fields, out);
 }
 
 /* Decodes one byte of a path. Returns how many characters it took, or 0 for a
  * byte that has no place in one. */
-static size_t decode(const char *p, char *out)
+static size_t decode_byte(const char *p, char *out)
 {
 	if (*p != '%') {
 		*out = *p;
@@ -150,7 +150,7 @@
 }
 
 /* Refuses empty, "." and ".." segments; a closing "/" is allowed. */
-static bool segments_ok(const char *path)
+static bool segments_valid(const char *path)
 {
 	if (path[0] != '/')
 		return false;
@@ -166,7 +166,7 @@
 	return true;
 }
 
-static bool query_ok(const char *query)
+static bool query_valid(const char *query)
 {
 	for (const char *p = query; *p; p++) {
 		if (!g_ascii_isgraph(*p) || *p == '#')
@@ -180,7 +180,7 @@
 	size_t n = 0;
 
 	for (size_t i = 0; i < size; n++) {
-		size_t step = decode(target + i, &out[n]);
+		size_t step = decode_byte(target + i, &out[n]);
 
 		if (!step || !out[n])
 			return false;
@@ -194,10 +194,10 @@
 	size_t size = strcspn(target, "?");
 
 	*path = NULL;
-	if (strlen(target) > ENT_TARGET_MAX || !query_ok(target + size))
+	if (strlen(target) > ENT_TARGET_MAX || !query_valid(target + size))
 		return FS_E_BAD_REQUEST;
 	*path = g_malloc0(size + 1);
-	if (decode_path(target, size, *path) && segments_ok(*path))
+	if (decode_path(target, size, *path) && segments_valid(*path))
 		return 0;
 	g_clear_pointer(path, g_free);
 	return FS_E_BAD_REQUEST;
@@ -228,7 +228,7 @@
 }
 
 /* Returns whether a Connection field names the field. */
-static bool is_named(const GArray *headers, const char *name)
+static bool named_by_connection(const GArray *headers, const char *name)
 {
 	for (guint i = 0; i < headers->len; i++) {
 		const struct msg_header *h =
@@ -254,7 +254,8 @@
 		const struct msg_header *h =
 			&g_array_index(headers, struct msg_header, i);
 
-		if (!is_hop_by_hop(h->name) && !is_named(headers, h->name))
+		if (!is_hop_by_hop(h->name) &&
+		    !named_by_connection(headers, h->name))
 			msg_headers_add(out, h->name, h->value);
 	}
 	return out;
--- a/src/ent_entries.c
+++ b/src/ent_entries.c
@@ -10,8 +10,8 @@
 	uint32_t count;
 };
 
-static void insert(struct candidates *c, const struct mem_member *member,
-		   uint64_t weight)
+static void insert_by_weight(struct candidates *c,
+			     const struct mem_member *member, uint64_t weight)
 {
 	uint32_t i = c->count++;
 
@@ -23,17 +23,18 @@
 	c->members[i] = member;
 }
 
-static void collect(struct candidates *c, const struct mem_view *view,
-		    uint64_t key, node_id without, const char *region)
+static void collect_candidates(struct candidates *c,
+			       const struct mem_view *view, uint64_t key,
+			       node_id excluded, const char *region)
 {
 	for (uint32_t i = 0; i < view->count && c->count < FS_NODES_MAX; i++) {
 		const struct mem_member *m = &view->members[i];
 
-		if (m->state != MEM_ALIVE || m->id == without ||
+		if (m->state != MEM_ALIVE || m->id == excluded ||
 		    !m->caller.sin_port ||
 		    (region && strcmp(m->region, region) != 0))
 			continue;
-		insert(c, m, shd_weight(key, m->id));
+		insert_by_weight(c, m, shd_weight(key, m->id));
 	}
 }
 
@@ -48,7 +49,8 @@
 }
 
 /* First the heaviest of each failure domain, then the heaviest of the rest. */
-static uint32_t spread(struct candidates *c, const struct mem_member **out)
+static uint32_t select_over_domains(struct candidates *c,
+				    const struct mem_member **out)
 {
 	uint32_t n = 0;
 
@@ -66,7 +68,7 @@
 }
 
 uint32_t ent_entries_pick(const struct mem_view *view, const char *caller,
-			  node_id without,
+			  node_id excluded,
 			  const struct mem_member *out[ENT_ENTRIES_MAX])
 {
 	const struct mem_member *self = mem_view_find(view, view->self);
@@ -74,10 +76,10 @@
 	uint64_t key = XXH64(caller, strlen(caller), 0);
 	uint32_t count;
 
-	collect(c, view, key, without, self ? self->region : NULL);
+	collect_candidates(c, view, key, excluded, self ? self->region : NULL);
 	if (!c->count)
-		collect(c, view, key, without, NULL);
-	count = spread(c, out);
+		collect_candidates(c, view, key, excluded, NULL);
+	count = select_over_domains(c, out);
 	g_free(c);
 	return count;
 }
--- a/src/ent_http.c
+++ b/src/ent_http.c
@@ -45,13 +45,13 @@
 }
 
 /* Everything that can be refused before the body is read. */
-static void begin(struct ent_request *req, const char *method,
-		  const char *version)
+static void check_head(struct ent_request *req, const char *method,
+		       const char *version)
 {
 	struct ent *ent = req->ent;
 	int err;
 
-	req->begun = true;
+	req->head_checked = true;
 	req->method = g_strdup(method);
 	req->headers = msg_headers_new();
 	if (!htd_read_headers(req->connection, req->headers))
@@ -82,7 +82,7 @@
 
 /* Takes a part of the body. Returns false if the connection must be closed:
  * there is no way to answer before the whole body has come. */
-static bool take_body(struct ent_request *req, const char *data, size_t size)
+static bool append_body(struct ent_request *req, const char *data, size_t size)
 {
 	struct ent *ent = req->ent;
 
@@ -119,7 +119,7 @@
 		ent_send_first(req, fs_now_us());
 }
 
-static enum MHD_Result queue(struct ent_request *req)
+static enum MHD_Result queue_response(struct ent_request *req)
 {
 	return MHD_queue_response(req->connection, req->status, req->response);
 }
@@ -136,20 +136,20 @@
 	(void)arg;
 	(void)connection;
 	(void)url;
-	if (!req->begun) {
-		begin(req, method, version);
-		return req->response ? queue(req) : MHD_YES;
+	if (!req->head_checked) {
+		check_head(req, method, version);
+		return req->response ? queue_response(req) : MHD_YES;
 	}
 	if (*upload_size) {
-		bool go_on = take_body(req, upload_data, *upload_size);
+		bool accepted = append_body(req, upload_data, *upload_size);
 
 		*upload_size = 0;
-		return go_on ? MHD_YES : MHD_NO;
+		return accepted ? MHD_YES : MHD_NO;
 	}
 	if (req->state == ENT_READING)
 		send_or_refuse(req);
 	if (req->response)
-		return queue(req);
+		return queue_response(req);
 	ent_request_suspend(req);
 	return MHD_YES;
 }
--- a/src/ent_lost.c
+++ b/src/ent_lost.c
@@ -1,13 +1,13 @@
 #include "ent.h"
 
-static void begin_cancel(struct ent_request *req)
+static void start_cancel(struct ent_request *req)
 {
 	ent_send_cancel(req);
 	req->state = ENT_CANCELLING;
 	ent_request_start_timer(req, ENT_CANCEL_TIMEOUT_US);
 }
 
-static void refuse_unknown(struct ent_request *req, int64_t now_us)
+static void refuse_outcome_unknown(struct ent_request *req, int64_t now_us)
 {
 	ent_record_refusal(req, AUD_R_OUTCOME_UNKNOWN, FS_E_DISPATCHER_LOST,
 			   "written", 1, "cancel_confirmed", 0, now_us);
@@ -18,10 +18,10 @@
 {
 	switch (req->state) {
 	case ENT_SENT:
-		begin_cancel(req);
+		start_cancel(req);
 		break;
 	case ENT_CANCELLING:
-		refuse_unknown(req, now_us);
+		refuse_outcome_unknown(req, now_us);
 		break;
 	case ENT_STREAMING:
 		ent_send_cancel(req);
@@ -33,7 +33,7 @@
 }
 
 /* Live members that have not had the request. */
-static int64_t count_usable(const struct ent_request *req)
+static int64_t count_eligible_nodes(const struct ent_request *req)
 {
 	const struct mem_view *view = req->ent->view;
 	int64_t count = 0;
@@ -41,20 +41,20 @@
 	for (uint32_t i = 0; i < view->count; i++) {
 		bool used = view->members[i].state != MEM_ALIVE;
 
-		for (uint32_t j = 0; j < req->used_count; j++)
-			used |= req->used[j] == view->members[i].id;
+		for (uint32_t j = 0; j < req->tried_nodes_count; j++)
+			used |= req->tried_nodes[j] == view->members[i].id;
 		count += !used;
 	}
 	return count;
 }
 
-static bool may_retry(struct ent_request *req, int64_t now_us)
+static bool try_retry(struct ent_request *req, int64_t now_us)
 {
 	const struct cfg_route *route = &req->cfg->routes[req->route];
 	const char *service = req->cfg->services[req->service].name;
 	struct rty_budget *budget =
 		g_hash_table_lookup(req->ent->budgets, service);
-	struct rty_input numbers = {
+	struct rty_input input = {
 		.repeatable = route->repeatable,
 		.written = 1,
 		.begun = 0,
@@ -62,11 +62,11 @@
 		.tries_max = route->tries,
 		.budget_milli = budget ? rty_budget_milli(budget, now_us) : 0,
 		.remaining_us = req->deadline_us - now_us,
-		.usable = count_usable(req),
+		.usable = count_eligible_nodes(req),
 	};
-	bool allowed = rty_allowed(&numbers);
+	bool allowed = rty_allowed(&input);
 
-	ent_record_retry(req, allowed, &numbers, now_us);
+	ent_record_retry(req, allowed, &input, now_us);
 	if (!allowed || !ent_send_next(req, true, now_us))
 		return false;
 	if (budget)
@@ -79,41 +79,41 @@
 /* The dispatcher may be well and only its link lost; its answer then comes by
  * the link that it opened itself. A request that can not be sent elsewhere
  * therefore waits for a while before it is withdrawn. */
-static void lose_one(struct ent_request *req, int64_t now_us)
+static void on_dispatcher_link_down(struct ent_request *req, int64_t now_us)
 {
 	int64_t left_us = req->deadline_us + ENT_DEADLINE_GRACE_US - now_us;
 
 	if (req->state == ENT_STREAMING) {
 		ent_send_cancel(req);
 		ent_stream_abort(req, "link_down", now_us);
-	} else if (req->state == ENT_SENT && !may_retry(req, now_us)) {
+	} else if (req->state == ENT_SENT && !try_retry(req, now_us)) {
 		ent_request_start_timer(req,
 					MIN(left_us, ENT_LINK_LOSS_GRACE_US));
 	}
 }
 
-static void note_down(struct ent *ent, node_id node, int64_t now_us)
+static void record_link_down(struct ent *ent, node_id node, int64_t now_us)
 {
-	int64_t *at = g_hash_table_lookup(ent->down, &node);
+	int64_t *down_us = g_hash_table_lookup(ent->link_down_us, &node);
 
-	if (!at) {
-		at = g_new0(int64_t, 1);
-		g_hash_table_insert(ent->down, g_memdup2(&node, sizeof(node)),
-				    at);
+	if (!down_us) {
+		down_us = g_new0(int64_t, 1);
+		g_hash_table_insert(ent->link_down_us,
+				    g_memdup2(&node, sizeof(node)), down_us);
 	}
-	*at = now_us;
+	*down_us = now_us;
 }
 
 void ent_lost_link(struct ent *ent, node_id node, int64_t now_us)
 {
-	g_autoptr(GList) all = g_hash_table_get_values(ent->requests);
+	g_autoptr(GList) requests = g_hash_table_get_values(ent->requests);
 
-	note_down(ent, node, now_us);
-	for (GList *l = all; l; l = l->next) {
+	record_link_down(ent, node, now_us);
+	for (GList *l = requests; l; l = l->next) {
 		struct ent_request *req = l->data;
 
 		if (req->node == node)
-			lose_one(req, now_us);
+			on_dispatcher_link_down(req, now_us);
 	}
 }
 
--- a/src/ent_own.c
+++ b/src/ent_own.c
@@ -5,11 +5,11 @@
 #define OWN_PREFIX "/.fescuesaddle"
 #define CALLER_MAX 128 /* bytes of a caller's name */
 
-static void answer_text(struct ent_request *req, char *text,
+static void answer_json(struct ent_request *req, char *json,
 			unsigned int status)
 {
 	struct MHD_Response *response = MHD_create_response_from_buffer(
-		strlen(text), text, MHD_RESPMEM_MUST_FREE);
+		strlen(json), json, MHD_RESPMEM_MUST_FREE);
 
 	MHD_add_response_header(response, "Content-Type", "application/json");
 	ent_request_end(req);
@@ -21,7 +21,7 @@
 	const struct ent *ent = req->ent;
 	bool ready = ent->cfg && ent->view && !ent->stop_us;
 
-	answer_text(
+	answer_json(
 		req,
 		g_strdup_printf("{\"ready\":%s}\n", ready ? "true" : "false"),
 		ready ? 200 : 503);
@@ -38,10 +38,10 @@
 		count = ent_entries_pick(ent->view, caller,
 					 ent->stop_us ? node->self : 0, chosen);
 	for (uint32_t i = 0; i < count; i++) {
-		char text[FS_ADDRESS_MAX];
+		char address[FS_ADDRESS_MAX];
 
-		set_format_address(&chosen[i]->caller, text);
-		g_string_append_printf(out, "%s\"%s\"", i ? "," : "", text);
+		set_format_address(&chosen[i]->caller, address);
+		g_string_append_printf(out, "%s\"%s\"", i ? "," : "", address);
 	}
 	g_string_append_printf(
 		out, "],\"ttl_ms\":%" G_GINT64_FORMAT "}\n",
@@ -56,7 +56,7 @@
 	int64_t now_us = fs_now_us();
 
 	if (caller && *caller && strlen(caller) < CALLER_MAX) {
-		answer_text(req, entries_json(req->ent, caller), 200);
+		answer_json(req, entries_json(req->ent, caller), 200);
 		return;
 	}
 	ent_record_refusal(req, AUD_R_REQUEST, FS_E_BAD_REQUEST, NULL, 0, NULL,
--- a/src/ent_pick.h
+++ b/src/ent_pick.h
@@ -19,9 +19,9 @@
 
 /** What is known of one shard's load. */
 struct ent_load {
-	struct msg_load told;
-	int64_t told_us; /* 0: never */
-	uint32_t sent;	 /* requests sent since it was told */
+	struct msg_load reported;
+	int64_t reported_us; /* 0: never */
+	uint32_t sent;	     /* requests sent since it was told */
 };
 
 /** Returns the room of a shard; an unknown or old load counts as none. */
@@ -31,16 +31,16 @@
 struct ent_query {
 	handle service;
 	const char *region;
-	const char *key;     /* or NULL */
-	const node_id *used; /* nodes that had the request */
-	uint32_t used_count;
+	const char *key;	    /* or NULL */
+	const node_id *tried_nodes; /* nodes that had the request */
+	uint32_t tried_nodes_count;
 	handle avoid; /* shard that refused it, or FS_NONE */
 	uint32_t random[2];
 };
 
 /** Chooses a shard; FS_NONE if the service has none. */
 handle ent_pick_shard(const struct shd_map *map, const struct ent_load *loads,
-		      const struct ent_query *wish, int64_t now_us);
+		      const struct ent_query *query, int64_t now_us);
 
 /** Returns when the link to a node last broke, or 0. */
 typedef int64_t (*ent_link_down_fn)(const void *arg, node_id node);
@@ -54,8 +54,8 @@
  * @return the node, or 0
  */
 node_id ent_pick_node(const struct shd_shard *shard,
-		      const struct mem_view *view, const struct ent_query *wish,
-		      ent_link_down_fn down, const void *arg, int64_t now_us,
-		      uint32_t *rank);
+		      const struct mem_view *view,
+		      const struct ent_query *query, ent_link_down_fn link_down,
+		      const void *arg, int64_t now_us, uint32_t *rank);
 
 #endif
--- a/src/ent_record.c
+++ b/src/ent_record.c
@@ -1,7 +1,7 @@
 #include "ent.h"
 
-static void begin(const struct ent_request *req, struct aud_record *rec,
-		  enum aud_kind kind, enum aud_rule rule, int64_t now_us)
+static void start_record(const struct ent_request *req, struct aud_record *rec,
+			 enum aud_kind kind, enum aud_rule rule, int64_t now_us)
 {
 	const struct cfg *cfg = req->cfg ? req->cfg : req->ent->cfg;
 
@@ -19,7 +19,7 @@
 {
 	struct aud_record rec;
 
-	begin(req, &rec, AUD_REFUSAL, rule, now_us);
+	start_record(req, &rec, AUD_REFUSAL, rule, now_us);
 	g_strlcpy(rec.choice, fs_err_name(err), sizeof(rec.choice));
 	aud_add(&rec, "err", err);
 	if (name1)
@@ -30,12 +30,12 @@
 }
 
 void ent_record_retry(const struct ent_request *req, bool allowed,
-		      const struct rty_input *n, int64_t now_us)
+		      const struct rty_input *input, int64_t now_us)
 {
 	struct aud_record rec;
 
-	begin(req, &rec, AUD_RETRY, allowed ? AUD_R_RETRY : AUD_R_NO_RETRY,
-	      now_us);
-	rty_add_input(&rec, n, allowed);
+	start_record(req, &rec, AUD_RETRY,
+		     allowed ? AUD_R_RETRY : AUD_R_NO_RETRY, now_us);
+	rty_add_input(&rec, input, allowed);
 	aud_emit(req->ent->node->aud, &rec);
 }
--- a/src/ent_reply.c
+++ b/src/ent_reply.c
@@ -15,24 +15,24 @@
 	return NULL;
 }
 
-static void take_load(struct ent_request *req, const struct msg_load *load,
-		      int64_t now_us)
+static void update_load(struct ent_request *req, const struct msg_load *load,
+			int64_t now_us)
 {
 	struct ent *ent = req->ent;
-	struct ent_load *known;
+	struct ent_load *current;
 
 	if (req->cfg != ent->cfg || req->shard == FS_NONE)
 		return;
-	known = &ent->loads[req->shard];
-	known->told = *load;
-	known->told_us = now_us;
-	known->sent = 0;
+	current = &ent->loads[req->shard];
+	current->reported = *load;
+	current->reported_us = now_us;
+	current->sent = 0;
 }
 
 /* A whole body must have the length that the target announced; an answer to
  * HEAD announces the length of a body that does not come. */
-static bool length_fits(const struct ent_request *req,
-			const struct msg_answer *answer)
+static bool length_valid(const struct ent_request *req,
+			 const struct msg_answer *answer)
 {
 	gsize size = g_bytes_get_size(answer->data);
 
@@ -44,7 +44,7 @@
 			      (int64_t)size < answer->length;
 }
 
-static ssize_t read_nothing(void *arg, uint64_t at, char *buf, size_t max)
+static ssize_t read_head_body(void *arg, uint64_t at, char *buf, size_t max)
 {
 	(void)arg;
 	(void)at;
@@ -58,8 +58,9 @@
 	g_bytes_unref(bytes);
 }
 
-static struct MHD_Response *whole_response(const struct ent_request *req,
-					   const struct msg_answer *answer)
+static struct MHD_Response *
+new_buffered_response(const struct ent_request *req,
+		      const struct msg_answer *answer)
 {
 	gsize size;
 	const void *data = g_bytes_get_data(answer->data, &size);
@@ -68,26 +69,27 @@
 		return MHD_create_response_from_callback(
 			answer->length < 0 ? MHD_SIZE_UNKNOWN :
 					     (uint64_t)answer->length,
-			1024, read_nothing, NULL, NULL);
+			1024, read_head_body, NULL, NULL);
 	return MHD_create_response_from_buffer_with_free_callback_cls(
 		size, (void *)data, unref_bytes, g_bytes_ref(answer->data));
 }
 
-static void fail(struct ent_request *req, int err, int64_t now_us)
+static void refuse_invalid_answer(struct ent_request *req, int err,
+				  int64_t now_us)
 {
 	ent_record_refusal(req, AUD_R_OUTCOME_UNKNOWN, err, "written", 1,
 			   "cancel_confirmed", 0, now_us);
 	ent_answer_refuse(req, err, FS_UNKNOWN, 0, now_us);
 }
 
-static void answer_whole(struct ent_request *req,
-			 const struct msg_answer *answer, int64_t now_us)
+static void answer_buffered(struct ent_request *req,
+			    const struct msg_answer *answer, int64_t now_us)
 {
-	struct MHD_Response *response = whole_response(req, answer);
+	struct MHD_Response *response = new_buffered_response(req, answer);
 
 	if (!ent_answer_headers(response, answer->headers)) {
 		MHD_destroy_response(response);
-		fail(req, FS_E_ANSWER_INVALID, now_us);
+		refuse_invalid_answer(req, FS_E_ANSWER_INVALID, now_us);
 		return;
 	}
 	ent_request_record_end(req, NULL, now_us);
@@ -107,18 +109,18 @@
 		ctr_count(ent->node->ctr, "ent_duplicate_answers", 1);
 		return;
 	}
-	take_load(req, &answer->load, now_us);
-	req->good = answer->status < 500;
-	req->targets = answer->tries;
+	update_load(req, &answer->load, now_us);
+	req->succeeded = answer->status < 500;
+	req->target_attempts = answer->tries;
 	g_free(req->server);
 	req->server = g_strdup(answer->server);
 	if (answer->status < 200 || answer->status > 599 ||
 	    answer->outcome == FS_UNKNOWN)
-		fail(req, FS_E_ANSWER_INVALID, now_us);
-	else if (!length_fits(req, answer))
-		fail(req, FS_E_TRUNCATED, now_us);
+		refuse_invalid_answer(req, FS_E_ANSWER_INVALID, now_us);
+	else if (!length_valid(req, answer))
+		refuse_invalid_answer(req, FS_E_TRUNCATED, now_us);
 	else if (answer->last)
-		answer_whole(req, answer, now_us);
+		answer_buffered(req, answer, now_us);
 	else
 		ent_stream_begin(req, answer);
 }
@@ -137,8 +139,8 @@
 
 /* Returns whether the request went to another dispatcher. A refusal for load
  * lets it move to one other shard; one for ownership, to each next owner. */
-static bool move(struct ent_request *req, const struct msg_refusal *refusal,
-		 int64_t now_us)
+static bool try_move(struct ent_request *req, const struct msg_refusal *refusal,
+		     int64_t now_us)
 {
 	bool same_shard = ent_rules_same_shard(refusal->err);
 
@@ -171,9 +173,9 @@
 		return;
 	}
 	if (!ent_rules_same_shard(refusal->err))
-		take_load(req, &refusal->load, now_us);
-	req->targets = refusal->tries;
-	if (move(req, refusal, now_us))
+		update_load(req, &refusal->load, now_us);
+	req->target_attempts = refusal->tries;
+	if (try_move(req, refusal, now_us))
 		return;
 	if (req->state == ENT_CANCELLING && not_run)
 		ent_record_refusal(req, AUD_R_CANCEL_CONFIRMED, refusal->err,
--- a/src/ent_request.c
+++ b/src/ent_request.c
@@ -7,7 +7,7 @@
 	ent_lost_timeout(timer->data, fs_now_us());
 }
 
-static void on_gone(void *arg)
+static void on_disconnect(void *arg)
 {
 	ent_lost_caller(arg);
 }
@@ -28,9 +28,9 @@
 	req->route = req->service = req->shard = FS_NONE;
 	ev_init(&req->timer, on_timer);
 	req->timer.data = req;
-	htd_gone_init(&req->gone, on_gone, req);
+	htd_gone_init(&req->gone, on_disconnect, req);
 	g_queue_init(&req->stream.pieces);
-	ent->open++;
+	ent->open_requests++;
 	return req;
 }
 
@@ -40,7 +40,7 @@
 
 	ent_request_end(req);
 	htd_gone_stop(&req->gone, ent->node->loop);
-	ent->open--;
+	ent->open_requests--;
 	ent->body_bytes -= req->body->len;
 	g_byte_array_unref(req->body);
 	g_clear_pointer(&req->headers, g_array_unref);
@@ -87,23 +87,24 @@
 {
 	struct node *node = req->ent->node;
 	const struct cfg_service *service;
-	int64_t took_us = now_us - req->started_us;
+	int64_t elapsed_us = now_us - req->started_us;
 	g_autofree char *name = NULL;
 
-	if (req->noted || req->service == FS_NONE)
+	if (req->end_recorded || req->service == FS_NONE)
 		return;
-	req->noted = true;
+	req->end_recorded = true;
 	service = &req->cfg->services[req->service];
 	if (!cause) {
 		name = g_strdup_printf("ent_answer{service=%s}", service->name);
-		ctr_observe(node->ctr, ctr_histogram(node->ctr, name), took_us);
-		if (!req->good)
+		ctr_observe(node->ctr, ctr_histogram(node->ctr, name),
+			    elapsed_us);
+		if (!req->succeeded)
 			cause = "server_error";
-		else if (took_us > service->objective_us)
+		else if (elapsed_us > service->objective_us)
 			cause = "slow";
 	}
 	brn_note(node->brn, service->name, !cause, cause, req->server,
-		 req->targets > 1, now_us);
+		 req->target_attempts > 1, now_us);
 }
 
 void ent_request_end(struct ent_request *req)
--- a/src/ent_send.c
+++ b/src/ent_send.c
@@ -1,15 +1,15 @@
 #include "ent.h"
 #include "ent_rules.h"
 
-static int64_t down_us(const void *arg, node_id node)
+static int64_t link_down_us(const void *arg, node_id node)
 {
 	const struct ent *ent = arg;
-	const int64_t *at = g_hash_table_lookup(ent->down, &node);
+	const int64_t *last_us = g_hash_table_lookup(ent->link_down_us, &node);
 
-	return at ? *at : 0;
+	return last_us ? *last_us : 0;
 }
 
-static struct ent_query wish_of(const struct ent_request *req)
+static struct ent_query make_query(const struct ent_request *req)
 {
 	GRand *random = req->ent->random;
 
@@ -17,16 +17,16 @@
 		.service = req->service,
 		.region = req->ent->node->set.region,
 		.key = req->head.key,
-		.used = req->used,
-		.used_count = req->used_count,
+		.tried_nodes = req->tried_nodes,
+		.tried_nodes_count = req->tried_nodes_count,
 		.avoid = FS_NONE,
 		.random = {g_rand_int(random), g_rand_int(random)},
 	};
 }
 
-static struct msg *message_of(const struct ent_request *req,
-			      const struct shd_shard *shard, uint32_t rank,
-			      int64_t now_us)
+static struct msg *new_request_message(const struct ent_request *req,
+				       const struct shd_shard *shard,
+				       uint32_t rank, int64_t now_us)
 {
 	const struct cfg *cfg = req->cfg;
 	struct msg *m = msg_new(MSG_REQUEST, req->node, MSG_TASK_DISPATCH);
@@ -50,25 +50,26 @@
 }
 
 /* Sends to the dispatcher of a shard; false if it has none left. */
-static bool send_to(struct ent_request *req, handle shard, int64_t now_us)
+static bool send_to_shard(struct ent_request *req, handle shard, int64_t now_us)
 {
 	struct ent *ent = req->ent;
-	struct ent_query wish = wish_of(req);
+	struct ent_query query = make_query(req);
 	uint32_t rank = 0;
-	node_id node = ent_pick_node(&ent->map->shards[shard], ent->view, &wish,
-				     down_us, ent, now_us, &rank);
+	node_id node = ent_pick_node(&ent->map->shards[shard], ent->view,
+				     &query, link_down_us, ent, now_us, &rank);
 
-	if (!node || req->used_count == ENT_NODES_MAX)
+	if (!node || req->tried_nodes_count == ENT_NODES_MAX)
 		return false;
 	req->shard = shard;
 	req->node = node;
-	req->used[req->used_count++] = node;
+	req->tried_nodes[req->tried_nodes_count++] = node;
 	req->tries++;
 	req->state = ENT_SENT;
 	ent->loads[shard].sent++;
 	ctr_count(ent->node->ctr, "ent_sent", 1);
 	bus_send(ent->node->bus,
-		 message_of(req, &ent->map->shards[shard], rank, now_us));
+		 new_request_message(req, &ent->map->shards[shard], rank,
+				     now_us));
 	ent_request_start_timer(req, req->deadline_us + ENT_DEADLINE_GRACE_US -
 					     now_us);
 	return true;
@@ -76,7 +77,7 @@
 
 /* A table of shards belongs to one configuration; a request that came under
  * an older one is matched again by name. */
-static bool adopt_config(struct ent_request *req)
+static bool update_config(struct ent_request *req)
 {
 	struct cfg *cfg = req->ent->cfg;
 	handle service =
@@ -99,20 +100,20 @@
 bool ent_send_next(struct ent_request *req, bool same_shard, int64_t now_us)
 {
 	struct ent *ent = req->ent;
-	struct ent_query wish;
+	struct ent_query query;
 	handle shard;
 
-	if (!adopt_config(req))
+	if (!update_config(req))
 		return false;
 	if (same_shard && req->shard != FS_NONE &&
-	    send_to(req, req->shard, now_us))
+	    send_to_shard(req, req->shard, now_us))
 		return true;
 	if (req->head.key)
 		return false;
-	wish = wish_of(req);
-	wish.avoid = req->shard;
-	shard = ent_pick_shard(ent->map, ent->loads, &wish, now_us);
-	return shard != FS_NONE && send_to(req, shard, now_us);
+	query = make_query(req);
+	query.avoid = req->shard;
+	shard = ent_pick_shard(ent->map, ent->loads, &query, now_us);
+	return shard != FS_NONE && send_to_shard(req, shard, now_us);
 }
 
 static void refuse_no_dispatcher(struct ent_request *req, int64_t now_us)
@@ -122,7 +123,7 @@
 	ent_answer_refuse(req, FS_E_NO_DISPATCHER, FS_NOT_RUN, 0, now_us);
 }
 
-static struct rty_budget *budget_of(struct ent_request *req, int64_t now_us)
+static struct rty_budget *budget_get(struct ent_request *req, int64_t now_us)
 {
 	const char *name = req->cfg->services[req->service].name;
 	struct rty_budget *budget =
@@ -139,10 +140,10 @@
 void ent_send_first(struct ent_request *req, int64_t now_us)
 {
 	struct ent *ent = req->ent;
-	struct ent_query wish;
+	struct ent_query query;
 	handle shard;
 
-	if (!adopt_config(req) ||
+	if (!update_config(req) ||
 	    ent_rules_service_leaving(
 		    req->cfg->services[req->service].leaving)) {
 		ent_record_refusal(req, AUD_R_SERVICE_LEAVING,
@@ -160,12 +161,12 @@
 				  now_us);
 		return;
 	}
-	rty_budget_earn(budget_of(req, now_us),
+	rty_budget_earn(budget_get(req, now_us),
 			req->cfg->services[req->service].retry_percent, now_us);
 	g_hash_table_insert(ent->requests, &req->id.counter, req);
-	wish = wish_of(req);
-	shard = ent_pick_shard(ent->map, ent->loads, &wish, now_us);
-	if (shard == FS_NONE || (!send_to(req, shard, now_us) &&
+	query = make_query(req);
+	shard = ent_pick_shard(ent->map, ent->loads, &query, now_us);
+	if (shard == FS_NONE || (!send_to_shard(req, shard, now_us) &&
 				 !ent_send_next(req, false, now_us)))
 		refuse_no_dispatcher(req, now_us);
 }
--- a/src/ent_stop.c
+++ b/src/ent_stop.c
@@ -1,18 +1,18 @@
 #include "ent.h"
 #include "fs_log.h"
 
-#define TICK_S 0.05
+#define CHECK_INTERVAL_S 0.05
 
 /* Callers keep an answer with this node's address for its time, and peers
  * name it until they have heard that it leaves. */
-static bool may_stop(struct ent *ent, int64_t now_us)
+static bool is_drained(struct ent *ent, int64_t now_us)
 {
-	if (now_us < ent->stop_us || ent->open) {
-		ent->quiet_us = now_us;
+	if (now_us < ent->stop_us || ent->open_requests) {
+		ent->idle_since_us = now_us;
 		return false;
 	}
 	htd_quiesce(ent->htd);
-	return now_us - ent->quiet_us >= ENT_IDLE_BEFORE_STOP_US;
+	return now_us - ent->idle_since_us >= ENT_IDLE_BEFORE_STOP_US;
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *timer, int events)
@@ -21,7 +21,7 @@
 	struct msg *m;
 
 	(void)events;
-	if (!may_stop(ent, fs_now_us()))
+	if (!is_drained(ent, fs_now_us()))
 		return;
 	ev_timer_stop(loop, timer);
 	ent->stopped = true;
@@ -37,8 +37,9 @@
 		return;
 	ent->stop_us = now_us + ent->node->set.answer_ttl_us +
 		       ENT_LEAVE_PROPAGATION_US;
-	ent->quiet_us = now_us;
-	ev_timer_init(&ent->stop_timer, on_timer, TICK_S, TICK_S);
+	ent->idle_since_us = now_us;
+	ev_timer_init(&ent->stop_timer, on_timer, CHECK_INTERVAL_S,
+		      CHECK_INTERVAL_S);
 	ent->stop_timer.data = ent;
 	ev_timer_start(ent->node->loop, &ent->stop_timer);
 }
--- a/src/ent_stream.c
+++ b/src/ent_stream.c
@@ -1,23 +1,23 @@
 #include "ent.h"
 
-#define BLOCK_SIZE (16 * 1024)	/* bytes MHD asks for */
-#define CREDIT_STEP (32 * 1024) /* bytes taken before the dispatcher is told */
+#define BLOCK_SIZE (16 * 1024)	     /* bytes that MHD requests at a time */
+#define CREDIT_MIN_BYTES (32 * 1024) /* bytes of credit sent at a time */
 
 /* Pieces may outrun their credit by the first one, which goes without. */
 #define BUFFERED_MAX (FS_ANSWER_WINDOW + FS_ANSWER_WHOLE_MAX)
 
-static void give_credit(struct ent_request *req)
+static void send_credit(struct ent_request *req)
 {
 	struct ent_stream *stream = &req->stream;
 
-	if (stream->last || stream->cut || !stream->credit ||
-	    (stream->credit < CREDIT_STEP && stream->buffered))
+	if (stream->last || stream->aborted || !stream->unreported_bytes ||
+	    (stream->unreported_bytes < CREDIT_MIN_BYTES && stream->buffered))
 		return;
-	ent_send_credit(req, stream->credit);
-	stream->credit = 0;
+	ent_send_credit(req, stream->unreported_bytes);
+	stream->unreported_bytes = 0;
 }
 
-static size_t copy_out(struct ent_stream *stream, char *buf, size_t max)
+static size_t read_pieces(struct ent_stream *stream, char *buf, size_t max)
 {
 	size_t n = 0;
 
@@ -25,15 +25,15 @@
 		GBytes *piece = g_queue_peek_head(&stream->pieces);
 		gsize size;
 		const char *data = g_bytes_get_data(piece, &size);
-		size_t part = MIN(size - stream->taken, max - n);
+		size_t chunk = MIN(size - stream->head_consumed, max - n);
 
-		memcpy(buf + n, data + stream->taken, part);
-		n += part;
-		stream->taken += part;
-		if (stream->taken < size)
+		memcpy(buf + n, data + stream->head_consumed, chunk);
+		n += chunk;
+		stream->head_consumed += chunk;
+		if (stream->head_consumed < size)
 			break;
 		g_bytes_unref(g_queue_pop_head(&stream->pieces));
-		stream->taken = 0;
+		stream->head_consumed = 0;
 	}
 	stream->buffered -= n;
 	return n;
@@ -48,11 +48,11 @@
 	size_t n;
 
 	(void)at;
-	if (stream->cut)
+	if (stream->aborted)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
-	n = copy_out(stream, buf, max);
-	stream->credit += (uint32_t)n;
-	give_credit(req);
+	n = read_pieces(stream, buf, max);
+	stream->unreported_bytes += (uint32_t)n;
+	send_credit(req);
 	if (n)
 		return (ssize_t)n;
 	if (stream->last)
@@ -61,7 +61,7 @@
 	return 0;
 }
 
-static void push(struct ent_stream *stream, GBytes *data)
+static void append_piece(struct ent_stream *stream, GBytes *data)
 {
 	gsize size = g_bytes_get_size(data);
 
@@ -92,12 +92,12 @@
 	}
 	req->state = ENT_STREAMING;
 	req->stream.length = answer->length;
-	push(&req->stream, answer->data);
+	append_piece(&req->stream, answer->data);
 	ent_answer_set_response(req, response, answer->status, answer->outcome);
 }
 
 /* Returns what is wrong with a piece, or NULL. */
-static const char *check_piece(const struct ent_stream *stream, uint64_t offset,
+static const char *piece_error(const struct ent_stream *stream, uint64_t offset,
 			       gsize size, bool last)
 {
 	uint64_t end = offset + size;
@@ -117,15 +117,15 @@
 		      bool last, int64_t now_us)
 {
 	struct ent_stream *stream = &req->stream;
-	const char *wrong =
-		check_piece(stream, offset, g_bytes_get_size(data), last);
+	const char *error =
+		piece_error(stream, offset, g_bytes_get_size(data), last);
 
-	if (wrong) {
+	if (error) {
 		ent_send_cancel(req);
-		ent_stream_abort(req, wrong, now_us);
+		ent_stream_abort(req, error, now_us);
 		return;
 	}
-	push(stream, data);
+	append_piece(stream, data);
 	if (last) {
 		stream->last = true;
 		ent_request_record_end(req, NULL, now_us);
@@ -141,7 +141,7 @@
 	g_autofree char *name = g_strdup_printf("ent_cuts{reason=%s}", reason);
 
 	ctr_count(req->ent->node->ctr, name, 1);
-	req->stream.cut = true;
+	req->stream.aborted = true;
 	ent_request_record_end(req, "truncated", now_us);
 	ent_request_end(req);
 	ent_request_resume(req);
