--- a/src/ent.c
+++ b/src/ent.c
@@ -2,9 +2,10 @@
 
 #include "fs_log.h"
 
-#define CONNECTION_MEMORY (64 * 1024) /* bytes; header fields both ways */
+/* For the header fields of a request and its response. */
+#define CONNECTION_MEMORY_BYTES (64 * 1024)
 
-/* Budgets of services that are gone are dropped. */
+/* Drops the retry budgets of services that the configuration lacks. */
 static gboolean is_removed_service(void *name, void *budget, void *cfg)
 {
 	(void)budget;
@@ -83,7 +84,7 @@
 	const struct htd_limits limits = {
 		.connections = FS_CALLER_CONNECTIONS_MAX,
 		.idle_s = FS_CALLER_IDLE_S,
-		.connection_memory = CONNECTION_MEMORY,
+		.connection_memory = CONNECTION_MEMORY_BYTES,
 	};
 	struct ent *ent = g_new0(struct ent, 1);
 
@@ -107,7 +108,7 @@
 	return ent;
 }
 
-/* MHD may not be stopped while connections are suspended. */
+/* MHD must not be stopped while connections are suspended. */
 static void end_requests(struct ent *ent)
 {
 	g_autoptr(GList) requests = g_hash_table_get_values(ent->requests);
--- a/src/ent_answer.c
+++ b/src/ent_answer.c
@@ -8,8 +8,8 @@
 	MHD_add_response_header(response, name, value);
 }
 
-/* Once a lost dispatcher may have run a request, what another one says of its
- * own part is not the whole truth. */
+/* If a dispatcher whose link was lost may have run the request, a "not run" of
+ * another dispatcher does not rule that out. */
 static enum fs_outcome effective_outcome(const struct ent_request *req,
 					 enum fs_outcome outcome)
 {
@@ -67,7 +67,7 @@
 	return g_string_free(out, FALSE);
 }
 
-/* Refusals that pass by themselves get a time after which to come back. */
+/* Refusals for a transient reason carry Retry-After. */
 static bool is_transient(int err)
 {
 	return err == FS_E_NOT_READY || err == FS_E_ENTRY_FULL ||
@@ -88,8 +88,9 @@
 	add_header(response, "Retry-After", text);
 }
 
-/* MHD reads no further request from a connection whose body it has not read
- * whole; what follows a refused request is never taken for one. */
+/* MHD parses no further request on a connection whose body it has not read
+ * completely, so the bytes after a refused request are never parsed as another
+ * one. Such a connection is closed. */
 static bool must_close(int err)
 {
 	return err == FS_E_BAD_REQUEST || err == FS_E_HEADERS_TOO_LARGE ||
--- a/src/ent_check.c
+++ b/src/ent_check.c
@@ -44,7 +44,7 @@
 	return true;
 }
 
-/* Only digits: no sign, space or list. */
+/* Accepts digits only: no sign, space or list. */
 static bool parse_length(const char *text, int64_t *out)
 {
 	size_t size = strlen(text);
@@ -55,7 +55,7 @@
 	return true;
 }
 
-/** Fields that may come once only. */
+/** Header fields that may occur only once. */
 struct single_fields {
 	const char *host;
 	const char *length;
@@ -64,7 +64,7 @@
 	const char *expect;
 };
 
-/* Notes a field that may come once. Returns false if it came before. */
+/* Records a field that may occur only once. Returns false on a duplicate. */
 static bool record_single(struct single_fields *s, const struct msg_header *h)
 {
 	const struct {
@@ -133,8 +133,8 @@
 	return check_singles(version, &fields, out);
 }
 
-/* Decodes one byte of a path. Returns how many characters it took, or 0 for a
- * byte that has no place in one. */
+/* Decodes one byte of a path. Returns the number of characters consumed, or 0
+ * for a byte that is not allowed. */
 static size_t decode_byte(const char *p, char *out)
 {
 	if (*p != '%') {
@@ -149,7 +149,7 @@
 	return strchr("/\\;?%", *out) || g_ascii_iscntrl(*out) ? 0 : 3;
 }
 
-/* Refuses empty, "." and ".." segments; a closing "/" is allowed. */
+/* Rejects empty, "." and ".." segments; a trailing "/" is allowed. */
 static bool segments_valid(const char *path)
 {
 	if (path[0] != '/')
@@ -227,7 +227,7 @@
 	return !g_ascii_strncasecmp(name, "Fescuesaddle-", 13);
 }
 
-/* Returns whether a Connection field names the field. */
+/* Returns whether a Connection field lists the field. */
 static bool named_by_connection(const GArray *headers, const char *name)
 {
 	for (guint i = 0; i < headers->len; i++) {
--- a/src/ent_check.h
+++ b/src/ent_check.h
@@ -1,11 +1,11 @@
 /**
  * @file ent_check.h
- * @brief Strict checks of a caller's request before anything else. Pure.
+ * @brief Strict validation of a caller's request. Pure.
  *
- * Whatever two HTTP implementations may read differently is refused, not
- * repaired: two lengths, a length beside a transfer coding, header names or
- * values with forbidden bytes, and paths with empty, "." or ".." segments,
- * path parameters, backslashes or encoded separators.
+ * What two HTTP implementations may parse differently is refused, not
+ * repaired, against request smuggling: two lengths, a length beside a transfer
+ * coding, header names or values with forbidden bytes, and paths with empty,
+ * "." or ".." segments, path parameters, backslashes or encoded separators.
  */
 #ifndef ENT_CHECK_H
 #define ENT_CHECK_H
@@ -14,11 +14,11 @@
 
 #define ENT_TARGET_MAX 4096 /* bytes of path and query */
 
-/** What the checks give. */
+/** Results of the header checks. */
 struct ent_head {
-	const char *host;    /* into the header fields */
+	const char *host;    /* points into the header fields */
 	const char *key;     /* Idempotency-Key, or NULL */
-	int64_t body_length; /* -1: not known before, 0: no body */
+	int64_t body_length; /* -1: chunked, 0: no body */
 };
 
 /**
@@ -32,14 +32,14 @@
 
 /**
  * Checks a request target and decodes its path.
- * @param path  out: what routes are matched with, owned by the caller
+ * @param path  out: decoded path for route matching, owned by the caller
  * @return 0 or FS_E_BAD_REQUEST
  */
 int ent_check_target(const char *target, char **path);
 
 /**
- * Copies the fields that may be passed on: neither hop-by-hop ones, nor those
- * that Connection names, nor those that this fleet or HTTP framing sets.
+ * Copies the end-to-end header fields: no hop-by-hop fields, none named by
+ * Connection, and none that this fleet or HTTP framing sets.
  */
 GArray *ent_check_copy_end_to_end(const GArray *headers);
 
--- a/src/ent_entries.c
+++ b/src/ent_entries.c
@@ -3,7 +3,7 @@
 
 #include "ent.h"
 
-/** Nodes that may be named to a caller, the heaviest first. */
+/** Eligible nodes in descending order of rendezvous weight. */
 struct candidates {
 	const struct mem_member *members[FS_NODES_MAX];
 	uint64_t weights[FS_NODES_MAX];
@@ -48,7 +48,8 @@
 	return false;
 }
 
-/* First the heaviest of each failure domain, then the heaviest of the rest. */
+/* Selects the highest weight of each failure domain first, then the highest
+ * of the others. */
 static uint32_t select_over_domains(struct candidates *c,
 				    const struct mem_member **out)
 {
--- a/src/ent_http.c
+++ b/src/ent_http.c
@@ -2,7 +2,8 @@
 
 #include "ent.h"
 
-#define DISCARD_MAX (1024 * 1024) /* bytes read past a limit to answer */
+/* Body bytes discarded past the limit, so that the refusal can be sent. */
+#define DISCARD_MAX_BYTES (1024 * 1024)
 
 static void *on_target(void *arg, const char *target,
 		       struct MHD_Connection *connection)
@@ -10,7 +11,7 @@
 	return ent_request_new(arg, target, connection);
 }
 
-/* Refuses a request that the entry itself finds wrong. */
+/* Refuses a request for a reason found by the entry itself. */
 static void refuse(struct ent_request *req, int err, int64_t size,
 		   int64_t limit)
 {
@@ -44,7 +45,7 @@
 	return 0;
 }
 
-/* Everything that can be refused before the body is read. */
+/* Runs the checks that do not need the body. */
 static void check_head(struct ent_request *req, const char *method,
 		       const char *version)
 {
@@ -80,15 +81,15 @@
 		       req->body_max);
 }
 
-/* Takes a part of the body. Returns false if the connection must be closed:
- * there is no way to answer before the whole body has come. */
+/* Appends a part of the body. Returns false if the connection must be closed:
+ * MHD can not answer before the complete body is received. */
 static bool append_body(struct ent_request *req, const char *data, size_t size)
 {
 	struct ent *ent = req->ent;
 
 	req->body_bytes += size;
 	if (fs_now_us() - req->started_us > ENT_READ_TIMEOUT_US ||
-	    req->body_bytes > req->body_max + (uint64_t)DISCARD_MAX) {
+	    req->body_bytes > req->body_max + (uint64_t)DISCARD_MAX_BYTES) {
 		ctr_count(ent->node->ctr, "ent_bodies_dropped", 1);
 		return false;
 	}
--- a/src/ent_lost.c
+++ b/src/ent_lost.c
@@ -32,18 +32,19 @@
 	}
 }
 
-/* Live members that have not had the request. */
+/* Counts the live members that the request was not sent to. */
 static int64_t count_eligible_nodes(const struct ent_request *req)
 {
 	const struct mem_view *view = req->ent->view;
 	int64_t count = 0;
 
 	for (uint32_t i = 0; i < view->count; i++) {
-		bool used = view->members[i].state != MEM_ALIVE;
+		bool ineligible = view->members[i].state != MEM_ALIVE;
 
 		for (uint32_t j = 0; j < req->tried_nodes_count; j++)
-			used |= req->tried_nodes[j] == view->members[i].id;
-		count += !used;
+			ineligible |= req->tried_nodes[j] ==
+				      view->members[i].id;
+		count += !ineligible;
 	}
 	return count;
 }
@@ -76,19 +77,21 @@
 	return true;
 }
 
-/* The dispatcher may be well and only its link lost; its answer then comes by
- * the link that it opened itself. A request that can not be sent elsewhere
- * therefore waits for a while before it is withdrawn. */
+/* The dispatcher may be healthy although the link is lost; its answer then
+ * arrives over the link that it opened itself. A request that can not be
+ * retried therefore waits for up to ENT_LINK_LOSS_GRACE_US before it is
+ * cancelled. */
 static void on_dispatcher_link_down(struct ent_request *req, int64_t now_us)
 {
-	int64_t left_us = req->deadline_us + ENT_DEADLINE_GRACE_US - now_us;
+	int64_t remaining_us =
+		req->deadline_us + ENT_DEADLINE_GRACE_US - now_us;
 
 	if (req->state == ENT_STREAMING) {
 		ent_send_cancel(req);
 		ent_stream_abort(req, "link_down", now_us);
 	} else if (req->state == ENT_SENT && !try_retry(req, now_us)) {
-		ent_request_start_timer(req,
-					MIN(left_us, ENT_LINK_LOSS_GRACE_US));
+		ent_request_start_timer(
+			req, MIN(remaining_us, ENT_LINK_LOSS_GRACE_US));
 	}
 }
 
--- a/src/ent_own.c
+++ b/src/ent_own.c
@@ -3,7 +3,7 @@
 #include "ent.h"
 
 #define OWN_PREFIX "/.fescuesaddle"
-#define CALLER_MAX 128 /* bytes of a caller's name */
+#define CALLER_NAME_MAX 128 /* bytes, with the terminating NUL */
 
 static void answer_json(struct ent_request *req, char *json,
 			unsigned int status)
@@ -55,7 +55,7 @@
 		req->connection, MHD_GET_ARGUMENT_KIND, "caller");
 	int64_t now_us = fs_now_us();
 
-	if (caller && *caller && strlen(caller) < CALLER_MAX) {
+	if (caller && *caller && strlen(caller) < CALLER_NAME_MAX) {
 		answer_json(req, entries_json(req->ent, caller), 200);
 		return;
 	}
--- a/src/ent_pick.c
+++ b/src/ent_pick.c
@@ -14,8 +14,8 @@
 	return capacity;
 }
 
-/* The shard of a key is the one with the highest hash of both, so that it
- * changes only if that shard does. */
+/* Rendezvous hashing: a key changes its shard only if that shard is removed or
+ * a new one has a higher hash. */
 static handle pick_by_key(const struct shd_map *map, handle first, handle end,
 			  const char *key)
 {
@@ -33,7 +33,8 @@
 	return best;
 }
 
-/* Counts the shards in a region, or gives the n-th of them. */
+/* Counts the shards in a region, without the one to avoid; @p nth is set to
+ * the n-th of them. */
 static uint32_t count_in_region(const struct shd_map *map, handle first,
 				handle end, const char *region, handle avoid,
 				uint32_t n, handle *nth)
--- a/src/ent_pick.h
+++ b/src/ent_pick.h
@@ -1,10 +1,11 @@
 /**
  * @file ent_pick.h
- * @brief Chooses the shard and the dispatcher of a request. Pure.
+ * @brief Selects the shard and the dispatcher of a request. Pure.
  *
- * Of two random shards the one with more room by its last known load is taken;
- * a request with an Idempotency-Key always goes to the same shard of its
- * service, over all regions, for as long as the shards stay the same.
+ * Power of two choices: of two random shards, the one with the higher capacity
+ * by its last reported load is selected. A request with an Idempotency-Key is
+ * always sent to the same shard of its service, over all regions, as long as
+ * the shards stay the same.
  */
 #ifndef ENT_PICK_H
 #define ENT_PICK_H
@@ -12,44 +13,46 @@
 #include "msg.h"
 #include "shd.h"
 
-#define ENT_NODES_MAX 4 /* dispatchers a request is offered to at most */
-#define ENT_LOAD_MAX_AGE_US (2 * FS_US_PER_S) /* a told load holds so long */
-#define ENT_LINK_DOWN_AVOID_US \
-	(3 * FS_US_PER_S) /* a broken link is avoided so long */
+#define ENT_NODES_MAX 4 /* dispatchers a request is sent to at most */
+#define ENT_LOAD_MAX_AGE_US (2 * FS_US_PER_S) /* of a reported load */
 
-/** What is known of one shard's load. */
+/* After a link loss, other nodes are preferred for this time. */
+#define ENT_LINK_DOWN_AVOID_US (3 * FS_US_PER_S)
+
+/** Last reported load of one shard. */
 struct ent_load {
 	struct msg_load reported;
 	int64_t reported_us; /* 0: never */
-	uint32_t sent;	     /* requests sent since it was told */
+	uint32_t sent;	     /* requests sent since the report */
 };
 
-/** Returns the room of a shard; an unknown or old load counts as none. */
+/** Returns the free slots of a shard less the requests that wait or were sent
+ * since the report; a missing or stale report counts as no free slots. */
 int64_t ent_load_capacity(const struct ent_load *load, int64_t now_us);
 
-/** What one request is looking for. */
+/** Parameters of a selection. */
 struct ent_query {
 	handle service;
 	const char *region;
 	const char *key;	    /* or NULL */
-	const node_id *tried_nodes; /* nodes that had the request */
+	const node_id *tried_nodes; /* nodes that the request was sent to */
 	uint32_t tried_nodes_count;
 	handle avoid; /* shard that refused it, or FS_NONE */
 	uint32_t random[2];
 };
 
-/** Chooses a shard; FS_NONE if the service has none. */
+/** Selects a shard; FS_NONE if the service has none left. */
 handle ent_pick_shard(const struct shd_map *map, const struct ent_load *loads,
 		      const struct ent_query *query, int64_t now_us);
 
-/** Returns when the link to a node last broke, or 0. */
+/** Returns the time of the last link loss of a node, or 0. */
 typedef int64_t (*ent_link_down_fn)(const void *arg, node_id node);
 
 /**
- * Chooses the dispatcher of a shard that has not had the request yet. A node
- * that answers directly and whose link has not broken of late goes first.
- * Only the first choice is taken for a request with a key: the keys of a shard
- * are known to its owner.
+ * Selects a dispatcher of a shard that the request was not sent to yet. This
+ * node, and nodes that are directly reachable without a recent link loss, are
+ * preferred. A request with a key is sent to the owner only, since the owner
+ * has the keys of the shard.
  * @param rank  out: 0 for the owner
  * @return the node, or 0
  */
--- a/src/ent_reply.c
+++ b/src/ent_reply.c
@@ -29,8 +29,8 @@
 	current->sent = 0;
 }
 
-/* A whole body must have the length that the target announced; an answer to
- * HEAD announces the length of a body that does not come. */
+/* A complete body must have the length that the target announced. An answer to
+ * HEAD announces a length but has no body. */
 static bool length_valid(const struct ent_request *req,
 			 const struct msg_answer *answer)
 {
@@ -137,8 +137,9 @@
 		ctr_count(ent->node->ctr, "ent_late_replies", 1);
 }
 
-/* Returns whether the request went to another dispatcher. A refusal for load
- * lets it move to one other shard; one for ownership, to each next owner. */
+/* Sends a refused request to another dispatcher. Returns whether it was sent.
+ * A refusal for load allows one move to another shard; a refusal for ownership
+ * allows a move to each next owner. */
 static bool try_move(struct ent_request *req, const struct msg_refusal *refusal,
 		     int64_t now_us)
 {
--- a/src/ent_send.c
+++ b/src/ent_send.c
@@ -49,7 +49,7 @@
 	return m;
 }
 
-/* Sends to the dispatcher of a shard; false if it has none left. */
+/* Sends to a dispatcher of a shard; false if none is left. */
 static bool send_to_shard(struct ent_request *req, handle shard, int64_t now_us)
 {
 	struct ent *ent = req->ent;
@@ -75,8 +75,8 @@
 	return true;
 }
 
-/* A table of shards belongs to one configuration; a request that came under
- * an older one is matched again by name. */
+/* The shard map belongs to one configuration. A request that was routed with an
+ * older one is matched again by the names of its service and route. */
 static bool update_config(struct ent_request *req)
 {
 	struct cfg *cfg = req->ent->cfg;
--- a/src/ent_stop.c
+++ b/src/ent_stop.c
@@ -3,8 +3,8 @@
 
 #define CHECK_INTERVAL_S 0.05
 
-/* Callers keep an answer with this node's address for its time, and peers
- * name it until they have heard that it leaves. */
+/* Callers cache the address of this node for the TTL of the answer, and peers
+ * return it until they have received that this node leaves. */
 static bool is_drained(struct ent *ent, int64_t now_us)
 {
 	if (now_us < ent->stop_us || ent->open_requests) {
--- a/src/ent_stream.c
+++ b/src/ent_stream.c
@@ -1,10 +1,10 @@
 #include "ent.h"
 
-#define BLOCK_SIZE (16 * 1024)	     /* bytes that MHD requests at a time */
-#define CREDIT_MIN_BYTES (32 * 1024) /* bytes of credit sent at a time */
+#define BLOCK_BYTES (16 * 1024)	     /* bytes that MHD requests at a time */
+#define CREDIT_MIN_BYTES (32 * 1024) /* credit is sent once this much is read */
 
-/* Pieces may outrun their credit by the first one, which goes without. */
-#define BUFFERED_MAX (FS_ANSWER_WINDOW + FS_ANSWER_WHOLE_MAX)
+/* The first piece is sent without credit, so it may exceed the window. */
+#define BUFFERED_MAX_BYTES (FS_ANSWER_WINDOW + FS_ANSWER_WHOLE_MAX)
 
 static void send_credit(struct ent_request *req)
 {
@@ -39,7 +39,7 @@
 	return n;
 }
 
-/* Gives MHD what there is. A stream that is cut ends with an error: MHD closes
+/* Copies buffered data to MHD. An aborted stream ends with an error: MHD closes
  * the connection before the announced length or the last chunk. */
 static ssize_t read_body(void *arg, uint64_t at, char *buf, size_t max)
 {
@@ -76,7 +76,7 @@
 	struct MHD_Response *response = MHD_create_response_from_callback(
 		answer->length < 0 ? MHD_SIZE_UNKNOWN :
 				     (uint64_t)answer->length,
-		BLOCK_SIZE, read_body, req, NULL);
+		BLOCK_BYTES, read_body, req, NULL);
 
 	if (!ent_answer_headers(response, answer->headers)) {
 		int64_t now_us = fs_now_us();
@@ -96,7 +96,7 @@
 	ent_answer_set_response(req, response, answer->status, answer->outcome);
 }
 
-/* Returns what is wrong with a piece, or NULL. */
+/* Returns the reason to reject a piece, or NULL. */
 static const char *piece_error(const struct ent_stream *stream, uint64_t offset,
 			       gsize size, bool last)
 {
@@ -108,7 +108,7 @@
 		return "too_long";
 	if (last && stream->length >= 0 && end < (uint64_t)stream->length)
 		return "too_short";
-	if (stream->buffered + size > BUFFERED_MAX)
+	if (stream->buffered + size > BUFFERED_MAX_BYTES)
 		return "window";
 	return NULL;
 }
--- a/tests/unit_ent.c
+++ b/tests/unit_ent.c
@@ -1,4 +1,5 @@
-/* The entry task: whole and own answers, and outcomes that are true. */
+/* The entry task: buffered and streamed answers, matching of replies to
+ * requests, and correct outcomes. */
 #include <fcntl.h>
 #include <string.h>
 
@@ -46,7 +47,7 @@
 	gate_end(&g);
 }
 
-static void test_whole_answer(void)
+static void test_buffered_answer(void)
 {
 	const struct msg *m;
 
@@ -66,8 +67,8 @@
 	end();
 }
 
-/* Replies of another node, incarnation or request, and late ones, are not
- * given to this caller. */
+/* Replies of another node, incarnation or request, and duplicate replies, are
+ * not forwarded to the caller. */
 static void test_foreign_replies_are_dropped(void)
 {
 	const struct msg *m;
@@ -98,7 +99,7 @@
 	end();
 }
 
-static void test_short_whole_answer_is_refused(void)
+static void test_truncated_answer_is_refused(void)
 {
 	begin();
 	gate_answer(&g, call(PAY), "shor", 5, true);
@@ -106,8 +107,9 @@
 	end();
 }
 
-/* A dispatcher that says nothing: cancelled, and unknown. */
-static void test_silence_is_unknown(void)
+/* A dispatcher that does not respond: the request is cancelled and its outcome
+ * is unknown. */
+static void test_no_response_is_unknown(void)
 {
 	const struct msg *m;
 
@@ -134,8 +136,8 @@
 	end();
 }
 
-/* A lost link: a request that may not be repeated is never sent again, and an
- * answer that still comes is passed on. */
+/* Link loss: a request that is not repeatable is never retried, and an answer
+ * that still arrives is forwarded. */
 static void test_lost_link_not_repeatable(void)
 {
 	const struct msg *m;
@@ -155,8 +157,8 @@
 	end();
 }
 
-/* A repeatable request goes to the other node; when that one refuses it, it
- * may still have run at the first. */
+/* A repeatable request is retried at the other node. When that node refuses it,
+ * the outcome is unknown, since the first node may have run it. */
 static void test_lost_link_repeatable(void)
 {
 	const struct msg *first;
@@ -177,8 +179,8 @@
 	end();
 }
 
-/* Refused for ownership, not run: also a payment moves to the next owner, and
- * to each node at most once. */
+/* A request that was refused for ownership and not run is sent to the next
+ * owner even if it is not repeatable, and to each node at most once. */
 static void test_moves_when_not_run(void)
 {
 	const struct msg *first;
@@ -200,7 +202,7 @@
 	end();
 }
 
-static void test_caller_gone_cancels(void)
+static void test_disconnect_cancels(void)
 {
 	begin();
 	call(PAY);
@@ -210,7 +212,8 @@
 	end();
 }
 
-/* A streamed answer of a known length; a cut is visible by it. */
+/* Streamed answers: one of announced length, by which a caller detects a
+ * truncation, and one of unknown length. */
 static void test_stream(void)
 {
 	const struct msg *m;
@@ -231,9 +234,9 @@
 	end();
 }
 
-/* Each wrong piece cuts the stream: the connection closes before the length
- * or the last chunk, and the dispatcher is told. */
-static void test_wrong_pieces_cut(void)
+/* Each invalid piece aborts the stream: the connection closes before the
+ * announced length or the last chunk, and the dispatcher receives a cancel. */
+static void test_invalid_pieces_abort(void)
 {
 	static const struct {
 		int64_t length;
@@ -263,8 +266,8 @@
 	}
 }
 
-/* A stream whose link or time is lost is cut, never ended as if whole. */
-static void test_lost_stream_is_cut(void)
+/* A stream is aborted on link loss or timeout, never ended as if complete. */
+static void test_lost_stream_is_aborted(void)
 {
 	const struct msg *m;
 
@@ -282,7 +285,7 @@
 	end();
 }
 
-/* Two requests, answered in the other order: each gets its own. */
+/* Two requests answered in reverse order: each caller receives its own answer. */
 static void test_answers_out_of_order(void)
 {
 	struct gate_caller other;
@@ -305,19 +308,19 @@
 {
 	const struct msg *m;
 	struct msg *stop;
-	struct gate_caller ask;
+	struct gate_caller ready;
 
 	begin();
 	g.node.set.answer_ttl_us =
-		-ENT_LEAVE_PROPAGATION_US; /* no time to wait out */
+		-ENT_LEAVE_PROPAGATION_US; /* no delay before the stop */
 	m = call(PAY);
 	stop = msg_new(MSG_STOP, g.node.self, MSG_TASK_ENTRY);
 	bus_send(g.node.bus, stop);
-	gate_call(&g, &ask,
+	gate_call(&g, &ready,
 		  "GET /.fescuesaddle/ready HTTP/1.1\r\nHost: h\r\n\r\n");
-	gate_expect(&g, &ask, 503, "answered");
-	g_assert_nonnull(strstr(ask.got->str, "Connection: close\r\n"));
-	gate_hang_up(&ask);
+	gate_expect(&g, &ready, 503, "answered");
+	g_assert_nonnull(strstr(ready.got->str, "Connection: close\r\n"));
+	gate_hang_up(&ready);
 	gate_run(&g, 200000);
 	g_assert_false(g.stopped);
 	gate_answer(&g, m, "whole", 5, true);
@@ -331,22 +334,24 @@
 	g_test_init(&argc, &argv, NULL);
 	g_log_set_always_fatal(G_LOG_FATAL_MASK);
 	fs_log_init("test", open("/dev/null", O_WRONLY));
-	g_test_add_func("/ent/whole_answer", test_whole_answer);
+	g_test_add_func("/ent/buffered_answer", test_buffered_answer);
 	g_test_add_func("/ent/foreign_replies_are_dropped",
 			test_foreign_replies_are_dropped);
-	g_test_add_func("/ent/short_whole_answer_is_refused",
-			test_short_whole_answer_is_refused);
-	g_test_add_func("/ent/silence_is_unknown", test_silence_is_unknown);
+	g_test_add_func("/ent/truncated_answer_is_refused",
+			test_truncated_answer_is_refused);
+	g_test_add_func("/ent/no_response_is_unknown",
+			test_no_response_is_unknown);
 	g_test_add_func("/ent/confirmed_cancel_is_not_run",
 			test_confirmed_cancel_is_not_run);
 	g_test_add_func("/ent/lost_link_not_repeatable",
 			test_lost_link_not_repeatable);
 	g_test_add_func("/ent/lost_link_repeatable", test_lost_link_repeatable);
 	g_test_add_func("/ent/moves_when_not_run", test_moves_when_not_run);
-	g_test_add_func("/ent/caller_gone_cancels", test_caller_gone_cancels);
+	g_test_add_func("/ent/disconnect_cancels", test_disconnect_cancels);
 	g_test_add_func("/ent/stream", test_stream);
-	g_test_add_func("/ent/wrong_pieces_cut", test_wrong_pieces_cut);
-	g_test_add_func("/ent/lost_stream_is_cut", test_lost_stream_is_cut);
+	g_test_add_func("/ent/invalid_pieces_abort", test_invalid_pieces_abort);
+	g_test_add_func("/ent/lost_stream_is_aborted",
+			test_lost_stream_is_aborted);
 	g_test_add_func("/ent/answers_out_of_order", test_answers_out_of_order);
 	g_test_add_func("/ent/planned_stop", test_planned_stop);
 	return g_test_run();
--- a/tests/unit_ent_input.c
+++ b/tests/unit_ent_input.c
@@ -1,5 +1,5 @@
-/* Requests that two HTTP implementations may read differently are refused,
- * nothing of them is passed on, and the entry goes on. */
+/* Requests that two HTTP implementations may parse differently are refused, no
+ * part of them is forwarded, and the entry continues to serve. */
 #include <fcntl.h>
 #include <string.h>
 
@@ -11,7 +11,7 @@
 static struct gate g;
 static struct gate_caller c;
 
-/* Neither the request nor what stands in its body reaches a dispatcher; the
+/* Neither the request nor a request in its body reaches a dispatcher, and the
  * connection is closed. */
 static void check_refused(const char *bytes)
 {
@@ -79,7 +79,7 @@
 	}
 }
 
-/* A path is matched as the target will read it. */
+/* Routes are matched with the decoded path, as the target decodes it. */
 static void test_encoded_letters_match_their_route(void)
 {
 	const struct msg *m;
@@ -112,21 +112,23 @@
 	g_string_free(many, TRUE);
 }
 
-/* Random changes of a good request: no crash, and a good one is served. */
+/* Random mutations of a valid request do not crash the entry, and a valid
+ * request is served afterwards. */
 static void test_mutated_bytes(void)
 {
-	static const char good[] = "POST /pay?a=%41 HTTP/1.1\r\nHost: h:80\r\n"
-				   "Idempotency-Key: k\r\nContent-Length: 3\r\n"
-				   "\r\na=1";
+	static const char valid[] =
+		"POST /pay?a=%41 HTTP/1.1\r\nHost: h:80\r\n"
+		"Idempotency-Key: k\r\nContent-Length: 3\r\n"
+		"\r\na=1";
 	g_autoptr(GRand) random = g_rand_new_with_seed(20261204);
 
 	gate_begin(&g);
 	for (int i = 0; i < 300; i++) {
-		char bytes[sizeof(good)];
+		char bytes[sizeof(valid)];
 
-		memcpy(bytes, good, sizeof(good));
+		memcpy(bytes, valid, sizeof(valid));
 		for (int n = g_rand_int_range(random, 1, 5); n > 0; n--)
-			bytes[g_rand_int_range(random, 0, sizeof(good) - 1)] =
+			bytes[g_rand_int_range(random, 0, sizeof(valid) - 1)] =
 				(char)g_rand_int_range(random, 1, 256);
 		gate_call(&g, &c, bytes);
 		gate_run(&g, 500);
@@ -134,7 +136,7 @@
 	}
 	gate_run(&g, 20000);
 	g_ptr_array_set_size(g.sent, 0);
-	gate_call(&g, &c, good);
+	gate_call(&g, &c, valid);
 	gate_until(&g, gate_sent(&g, MSG_REQUEST, 0));
 	gate_answer(&g, gate_sent(&g, MSG_REQUEST, 0), "ok", 2, true);
 	gate_expect(&g, &c, 200, "answered");
