--- a/src/ent.h
+++ b/src/ent.h
@@ -65,7 +65,7 @@
 	bool aborted;		   /* the rest is not delivered */
 };
 
-/** One request of a caller, from its request line until MHD has completed it. */
+/** One request of a caller, until MHD has completed it. */
 struct ent_request {
 	struct ent *ent;
 	struct MHD_Connection *connection;
@@ -94,7 +94,7 @@
 	uint32_t tried_nodes_count;
 	uint32_t tries; /* nodes that may have run it */
 	uint32_t moves; /* to another shard */
-	bool ambiguous; /* a dispatcher whose link was lost may have run it too */
+	bool ambiguous; /* the dispatcher of a lost link may have run it */
 	/* The answer */
 	bool suspended;
 	struct MHD_Response *response;
@@ -123,7 +123,7 @@
 	uint64_t counter;
 	uint32_t open_requests; /* requests that MHD has not completed */
 	size_t body_bytes;
-	int64_t stop_us; /* answers that name this node expire; 0: not stopping */
+	int64_t stop_us; /* answers with this node expire; 0: not stopping */
 	int64_t idle_since_us; /* since when no request is open */
 	bool stopped;
 	ev_timer stop_timer;
--- a/src/ent_lost.c
+++ b/src/ent_lost.c
@@ -32,7 +32,7 @@
 	}
 }
 
-/* Counts the live members that the request was not sent to. */
+/* Counts the live members that the request was not sent to yet. */
 static int64_t count_eligible_nodes(const struct ent_request *req)
 {
 	const struct mem_view *view = req->ent->view;
--- a/tests/unit_ent.c
+++ b/tests/unit_ent.c
@@ -285,7 +285,8 @@
 	end();
 }
 
-/* Two requests answered in reverse order: each caller receives its own answer. */
+/* Two requests answered in reverse order: each caller receives its own
+ * answer. */
 static void test_answers_out_of_order(void)
 {
 	struct gate_caller other;
