--- a/src/ent_http.c
+++ b/src/ent_http.c
@@ -2,7 +2,8 @@
 
 #include "ent.h"
 
-#define DISCARD_MAX (1024 * 1024) /* bytes read past a limit to answer */
+/* Body bytes discarded past the limit, so that the refusal can be sent. */
+#define DISCARD_MAX_BYTES (1024 * 1024)
 
 static void *on_target(void *arg, const char *target,
 		       struct MHD_Connection *connection)
@@ -10,7 +11,7 @@
 	return ent_request_new(arg, target, connection);
 }
 
-/* Refuses a request that the entry itself finds wrong. */
+/* Refuses a request for a reason found by the entry itself. */
 static void refuse(struct ent_request *req, int err, int64_t size,
 		   int64_t limit)
 {
@@ -44,14 +45,14 @@
 	return 0;
 }
 
-/* Everything that can be refused before the body is read. */
-static void begin(struct ent_request *req, const char *method,
-		  const char *version)
+/* Runs the checks that do not need the body. */
+static void check_head(struct ent_request *req, const char *method,
+		       const char *version)
 {
 	struct ent *ent = req->ent;
 	int err;
 
-	req->begun = true;
+	req->head_checked = true;
 	req->method = g_strdup(method);
 	req->headers = msg_headers_new();
 	if (!htd_read_headers(req->connection, req->headers))
@@ -80,15 +81,15 @@
 		       req->body_max);
 }
 
-/* Takes a part of the body. Returns false if the connection must be closed:
- * there is no way to answer before the whole body has come. */
-static bool take_body(struct ent_request *req, const char *data, size_t size)
+/* Appends a part of the body. Returns false if the connection must be closed:
+ * MHD can not answer before the complete body is received. */
+static bool append_body(struct ent_request *req, const char *data, size_t size)
 {
 	struct ent *ent = req->ent;
 
 	req->body_bytes += size;
 	if (fs_now_us() - req->started_us > ENT_READ_TIMEOUT_US ||
-	    req->body_bytes > req->body_max + (uint64_t)DISCARD_MAX) {
+	    req->body_bytes > req->body_max + (uint64_t)DISCARD_MAX_BYTES) {
 		ctr_count(ent->node->ctr, "ent_bodies_dropped", 1);
 		return false;
 	}
@@ -119,7 +120,7 @@
 		ent_send_first(req, fs_now_us());
 }
 
-static enum MHD_Result queue(struct ent_request *req)
+static enum MHD_Result queue_response(struct ent_request *req)
 {
 	return MHD_queue_response(req->connection, req->status, req->response);
 }
@@ -136,20 +137,20 @@
 	(void)arg;
 	(void)connection;
 	(void)url;
-	if (!req->begun) {
-		begin(req, method, version);
-		return req->response ? queue(req) : MHD_YES;
+	if (!req->head_checked) {
+		check_head(req, method, version);
+		return req->response ? queue_response(req) : MHD_YES;
 	}
 	if (*upload_size) {
-		bool go_on = take_body(req, upload_data, *upload_size);
+		bool accepted = append_body(req, upload_data, *upload_size);
 
 		*upload_size = 0;
-		return go_on ? MHD_YES : MHD_NO;
+		return accepted ? MHD_YES : MHD_NO;
 	}
 	if (req->state == ENT_READING)
 		send_or_refuse(req);
 	if (req->response)
-		return queue(req);
+		return queue_response(req);
 	ent_request_suspend(req);
 	return MHD_YES;
 }
