--- a/src/bud.c
+++ b/src/bud.c
@@ -17,13 +17,13 @@
 
 	if (bucket - bud->bucket >= BUD_BUCKETS) {
 		memset(bud->requests, 0, sizeof(bud->requests));
-		memset(bud->repeats, 0, sizeof(bud->repeats));
+		memset(bud->retries, 0, sizeof(bud->retries));
 		bud->bucket = bucket;
 	}
 	while (bud->bucket < bucket) {
 		bud->bucket++;
 		bud->requests[bud->bucket % BUD_BUCKETS] = 0;
-		bud->repeats[bud->bucket % BUD_BUCKETS] = 0;
+		bud->retries[bud->bucket % BUD_BUCKETS] = 0;
 	}
 	return (uint32_t)(bucket % BUD_BUCKETS);
 }
@@ -37,7 +37,7 @@
 void bud_count_retry(struct bud *bud, const struct bud_rule *rule,
 		     int64_t now_us)
 {
-	bud->repeats[advance(bud, rule, now_us)]++;
+	bud->retries[advance(bud, rule, now_us)]++;
 }
 
 uint32_t bud_recent_retries(struct bud *bud, const struct bud_rule *rule,
@@ -46,7 +46,7 @@
 	uint32_t newest = advance(bud, rule, now_us);
 	uint32_t before = (newest + BUD_BUCKETS - 1) % BUD_BUCKETS;
 
-	return bud->repeats[newest] + bud->repeats[before];
+	return bud->retries[newest] + bud->retries[before];
 }
 
 double bud_request_rate(struct bud *bud, const struct bud_rule *rule,
@@ -67,14 +67,14 @@
 			uint32_t nodes, int64_t now_us)
 {
 	double requests = 0;
-	double repeats = 0;
+	double retries = 0;
 
 	advance(bud, rule, now_us);
 	for (int i = 0; i < BUD_BUCKETS; i++) {
 		requests += bud->requests[i];
-		repeats += bud->repeats[i];
+		retries += bud->retries[i];
 	}
 	return BUDGET_SHARE *
 		       (rule->ratio * requests + rule->slack / MAX(nodes, 1)) -
-	       repeats;
+	       retries;
 }
--- a/src/bud.h
+++ b/src/bud.h
@@ -25,7 +25,7 @@
 struct bud {
 	int64_t bucket; /* number of the newest bucket */
 	uint32_t requests[BUD_BUCKETS];
-	uint32_t repeats[BUD_BUCKETS];
+	uint32_t retries[BUD_BUCKETS];
 };
 
 /** Counts a request of a caller. */
--- a/src/dsp_exchange.c
+++ b/src/dsp_exchange.c
@@ -222,8 +222,8 @@
 }
 
 static const struct tgt_ops exchange_ops = {
-	.begun = on_begun,
-	.more = on_more,
+	.stream_started = on_begun,
+	.body_available = on_more,
 	.headers_overdue = on_silent,
 	.done = on_done,
 };
--- a/src/dsp_handover.c
+++ b/src/dsp_handover.c
@@ -105,7 +105,7 @@
 	if (!m)
 		return;
 	message_add(m, entry->key, entry->in_flight,
-		    h->now_us - entry->taken_us);
+		    h->now_us - entry->admitted_us);
 	if (m->handover.keys->len < HANDOVER_KEYS_MAX)
 		return;
 	next = message_new(h->dsp, &h->dsp->map->shards[shard], m->to);
@@ -164,7 +164,7 @@
 			.key = key->key,
 			.shard = handover->shard,
 			.in_flight = key->in_flight,
-			.taken_us = now_us - MAX(key->age_us, 0),
+			.admitted_us = now_us - MAX(key->age_us, 0),
 		};
 
 		if (key_merge(dsp->keys, &entry, now_us))
--- a/src/gwy.c
+++ b/src/gwy.c
@@ -136,7 +136,7 @@
 
 		gwy_request_cancel_attempts(req);
 		req->stream_failed = true;
-		if (!req->response && req->begun)
+		if (!req->response && req->headers_received)
 			gwy_answer_refuse(req, FS_E_DISPATCHER_LOST, 0, now_us);
 		gwy_request_resume(req);
 	}
--- a/src/gwy_answer.c
+++ b/src/gwy_answer.c
@@ -7,8 +7,8 @@
 #define BLOCK_SIZE (16 * 1024) /* bytes MHD asks for at a time */
 #define MEAN_SIZE_WEIGHT 0.1 /* weight of a new answer in the moving average */
 
-static void add(struct MHD_Response *response, const char *name,
-		const char *value)
+static void add_field(struct MHD_Response *response, const char *name,
+		      const char *value)
 {
 	MHD_add_response_header(response, name, value);
 }
@@ -17,14 +17,15 @@
 			 unsigned int status)
 {
 	if (req->gwy->stopping)
-		add(response, "Connection", "close");
+		add_field(response, "Connection", "close");
 	g_clear_pointer(&req->response, MHD_destroy_response);
 	req->response = response;
 	req->status = status;
 	gwy_request_resume(req);
 }
 
-static void end(struct gwy_request *req, const char *outcome, int64_t now_us)
+static void end_request(struct gwy_request *req, const char *outcome,
+			int64_t now_us)
 {
 	ev_timer_stop(req->gwy->node->loop, &req->timer);
 	gwy_request_log(req, outcome, now_us);
@@ -35,17 +36,17 @@
 			      struct MHD_Response *response, struct tgt *tgt)
 {
 	g_autoptr(GArray) headers = tgt_steal_headers(tgt);
-	g_autoptr(GArray) kept = ent_end_to_end(headers);
+	g_autoptr(GArray) end_to_end = ent_end_to_end(headers);
 
 	if (tgt_status(tgt) < 300 &&
-	    !msg_headers_get(kept, req->gwy->fields.target.proof))
+	    !msg_headers_get(end_to_end, req->gwy->fields.target.response_seal))
 		fs_log_eventf("gwy", G_LOG_LEVEL_CRITICAL, "answer_unproved",
 			      "\"request\":\"%s\",\"fields_read\":%u,"
 			      "\"fields_kept\":%u",
-			      req->id, headers->len, kept->len);
-	for (guint i = 0; i < kept->len; i++) {
+			      req->id, headers->len, end_to_end->len);
+	for (guint i = 0; i < end_to_end->len; i++) {
 		const struct msg_header *h =
-			&g_array_index(kept, struct msg_header, i);
+			&g_array_index(end_to_end, struct msg_header, i);
 
 		/* MHD rejects fields that would break the framing. */
 		if (MHD_add_response_header(response, h->name, h->value) !=
@@ -102,7 +103,7 @@
 	req->status = t->status;
 	observe_latency(req, now_us);
 	ctr_count(req->gwy->node->ctr, "gwy_answers", 1);
-	end(req, "answered", now_us);
+	end_request(req, "answered", now_us);
 	queue_answer(req, response, t->status);
 }
 
@@ -118,19 +119,19 @@
 		strlen(body), body, MHD_RESPMEM_MUST_FREE);
 
 	ctr_count(req->gwy->node->ctr, name, 1);
-	add(response, "Content-Type", "application/json");
+	add_field(response, "Content-Type", "application/json");
 	if (retry_after_us > 0) {
 		char text[G_ASCII_DTOSTR_BUF_SIZE];
 
 		g_ascii_formatd(text, sizeof(text), "%.2f",
 				(double)retry_after_us / FS_US_PER_S);
-		add(response, "Retry-After", text);
+		add_field(response, "Retry-After", text);
 	}
 	if (err == FS_E_BAD_REQUEST || err == FS_E_HEADERS_TOO_LARGE ||
 	    err == FS_E_BODY_TOO_LARGE || err == FS_E_CALLER_GONE)
-		add(response, "Connection", "close");
+		add_field(response, "Connection", "close");
 	req->status = row->status;
-	end(req, row->name, now_us);
+	end_request(req, row->name, now_us);
 	queue_answer(req, response, row->status);
 }
 
@@ -139,7 +140,7 @@
 static ssize_t read_body(void *arg, uint64_t at, char *buf, size_t max)
 {
 	struct gwy_request *req = arg;
-	struct tgt *tgt = req->stream ? req->stream->tgt : NULL;
+	struct tgt *tgt = req->stream_attempt ? req->stream_attempt->tgt : NULL;
 	g_autoptr(GBytes) part = NULL;
 	gsize size;
 	const void *data;
@@ -174,7 +175,7 @@
 	if (length > 0)
 		update_mean_size(req, length);
 	req->state = GWY_STREAMING;
-	req->stream = t;
+	req->stream_attempt = t;
 	/* The timer cancels other attempts, outside of this callback. */
 	gwy_request_timer(req, now_us, now_us);
 	queue_answer(req, response, t->status);
--- a/src/gwy_choose.c
+++ b/src/gwy_choose.c
@@ -56,7 +56,7 @@
 	const struct dir_service *targets = dir_find(gwy->dir, service);
 	int64_t objective_us = gwy_choose_objective(req);
 	struct bal_choice choice;
-	struct bal_query wish = {
+	struct bal_query query = {
 		.domain = gwy->node->set.domain,
 		.mean_us = lod_mean_latency(gwy->lod, service),
 		.failure_cost_us =
@@ -75,12 +75,12 @@
 		.random = gwy_random(gwy),
 	};
 
-	choice = bal_choose(targets, &wish);
+	choice = bal_choose(targets, &query);
 	if (!choice.target ||
 	    !gwy_choose_wait_exceeds_deadline(req, choice.wait_us, now_us))
 		return choice;
 	/* The wait would miss the deadline: a suspected target is better. */
-	wish.failure_cost_us = 0;
-	wish.cross_domain_cost_us = 0;
-	return bal_choose(targets, &wish);
+	query.failure_cost_us = 0;
+	query.cross_domain_cost_us = 0;
+	return bal_choose(targets, &query);
 }
--- a/src/gwy_http.c
+++ b/src/gwy_http.c
@@ -27,12 +27,12 @@
 /* Drops hop-by-hop fields and fields that the fleet sets itself. */
 static GArray *forwarded_headers(const struct gwy *gwy, const GArray *headers)
 {
-	g_autoptr(GArray) kept = ent_end_to_end(headers);
+	g_autoptr(GArray) end_to_end = ent_end_to_end(headers);
 	GArray *out = msg_headers_new();
 
-	for (guint i = 0; i < kept->len; i++) {
+	for (guint i = 0; i < end_to_end->len; i++) {
 		const struct msg_header *h =
-			&g_array_index(kept, struct msg_header, i);
+			&g_array_index(end_to_end, struct msg_header, i);
 
 		if (!is_fleet_field(&gwy->fields, h->name))
 			msg_headers_add(out, h->name, h->value);
@@ -53,7 +53,7 @@
 			"%" G_GINT64_MODIFIER "x-%" G_GINT64_MODIFIER
 			"x-%" G_GINT64_MODIFIER "x",
 			gwy->node->self, gwy->node->incarnation,
-			++gwy->counter);
+			++gwy->id_counter);
 }
 
 static void set_deadline(struct gwy_request *req, const GArray *headers)
@@ -167,13 +167,13 @@
 }
 
 /* Checks everything that can be refused before the body is read. */
-static void begin(struct gwy_request *req, const char *method,
-		  const char *version)
+static void check_headers(struct gwy_request *req, const char *method,
+			  const char *version)
 {
 	struct msg_request *request;
 	int err;
 
-	req->begun = true;
+	req->headers_received = true;
 	req->m = msg_new(MSG_REQUEST, req->gwy->node->self, MSG_TASK_ENTRY);
 	request = &req->m->request;
 	request->method = g_strdup(method);
@@ -243,7 +243,7 @@
 	dispatch(req, now_us);
 }
 
-static enum MHD_Result queue(struct gwy_request *req)
+static enum MHD_Result queue_response(struct gwy_request *req)
 {
 	return MHD_queue_response(req->connection, req->status, req->response);
 }
@@ -260,9 +260,9 @@
 	(void)arg;
 	(void)connection;
 	(void)url;
-	if (!req->begun) {
-		begin(req, method, version);
-		return req->response ? queue(req) : MHD_YES;
+	if (!req->headers_received) {
+		check_headers(req, method, version);
+		return req->response ? queue_response(req) : MHD_YES;
 	}
 	if (*upload_size) {
 		append_body(req, upload_data, *upload_size);
@@ -272,7 +272,7 @@
 	if (req->state == GWY_READING)
 		dispatch(req, fs_now_us());
 	if (req->response)
-		return queue(req);
+		return queue_response(req);
 	gwy_request_suspend(req);
 	return MHD_YES;
 }
@@ -287,7 +287,8 @@
 	if (!req)
 		return;
 	*context = NULL;
-	if (code != MHD_REQUEST_TERMINATED_COMPLETED_OK && req->begun)
+	if (code != MHD_REQUEST_TERMINATED_COMPLETED_OK &&
+	    req->headers_received)
 		gwy_request_log(req, fs_err_name(FS_E_CALLER_GONE),
 				fs_now_us());
 	gwy_request_free(req);
--- a/src/gwy_impl.h
+++ b/src/gwy_impl.h
@@ -56,7 +56,7 @@
 	struct gwy *gwy;
 	struct MHD_Connection *connection;
 	enum gwy_state state;
-	bool begun;
+	bool headers_received;
 	bool suspended;
 	bool logged;
 	/* The request */
@@ -87,7 +87,7 @@
 	/* The answer */
 	struct MHD_Response *response;
 	unsigned int status;
-	struct gwy_attempt *stream; /* whose body is being forwarded */
+	struct gwy_attempt *stream_attempt; /* whose body is being forwarded */
 	bool stream_ended;
 	bool stream_failed;
 };
@@ -107,7 +107,7 @@
 	struct bud_rule budget_rule;
 	GHashTable *requests; /* struct gwy_request */
 	uint64_t random_state;
-	uint64_t counter; /* of requests without an id */
+	uint64_t id_counter; /* of requests without an id */
 	size_t body_bytes;
 	size_t body_bytes_max;
 	uint32_t members_alive; /* live members, this one included */
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -37,13 +37,13 @@
 
 void gwy_overdue_report(struct gwy_request *req, int64_t now_us)
 {
-	int64_t late_us = gwy_overdue_us(req);
+	int64_t overdue_us = gwy_overdue_us(req);
 
 	for (uint32_t i = 0; i < req->attempt_count; i++) {
 		struct gwy_attempt *t = &req->attempts[i];
 
 		if (!t->in_flight || t->overdue ||
-		    now_us - t->started_us < t->wait_us + late_us)
+		    now_us - t->started_us < t->wait_us + overdue_us)
 			continue;
 		t->overdue = true;
 		lod_record_outcome(req->gwy->lod, t->target, GRY_OVERDUE, 0);
--- a/src/gwy_request.c
+++ b/src/gwy_request.c
@@ -118,7 +118,7 @@
 			t->err = FS_E_CANCELLED;
 		gwy_send_release_slot(t);
 	}
-	req->stream = NULL;
+	req->stream_attempt = NULL;
 }
 
 static void append_attempts(const struct gwy_request *req, GString *out)
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -61,18 +61,18 @@
 static void set_timer(struct gwy_request *req, int64_t now_us)
 {
 	int64_t at_us = req->deadline_us;
-	int64_t late_us = gwy_overdue_us(req);
-	int64_t last_us = gwy_overdue_hedge_latest_us(req);
+	int64_t overdue_us = gwy_overdue_us(req);
+	int64_t hedge_us = gwy_overdue_hedge_latest_us(req);
 
-	if (now_us < last_us)
-		at_us = MIN(at_us, last_us);
+	if (now_us < hedge_us)
+		at_us = MIN(at_us, hedge_us);
 
 	for (uint32_t i = 0; i < req->attempt_count; i++) {
 		const struct gwy_attempt *t = &req->attempts[i];
 
 		if (t->in_flight && !t->overdue)
 			at_us = MIN(at_us,
-				    t->started_us + t->wait_us + late_us);
+				    t->started_us + t->wait_us + overdue_us);
 	}
 	gwy_request_timer(req, at_us, now_us);
 }
@@ -183,14 +183,14 @@
 static double budget_left(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
-	double own = bud_retries_left(budget_of(req), &gwy->budget_rule,
-				      gwy->members_alive, now_us);
-	double pool = lod_retry_budget_left(gwy->lod, gwy_service_name(req),
-					    &gwy->budget_rule, now_us);
+	double own_left = bud_retries_left(budget_of(req), &gwy->budget_rule,
+					   gwy->members_alive, now_us);
+	double fleet_left = lod_retry_budget_left(
+		gwy->lod, gwy_service_name(req), &gwy->budget_rule, now_us);
 	double recent =
 		bud_recent_retries(budget_of(req), &gwy->budget_rule, now_us);
 
-	return MAX(own, pool / gwy->members_alive - recent);
+	return MAX(own_left, fleet_left / gwy->members_alive - recent);
 }
 
 bool gwy_send_retry(struct gwy_request *req, int64_t now_us)
@@ -286,10 +286,10 @@
 }
 
 static bool is_not_run(const struct gwy_attempt *t,
-		       const struct tgt_result *end, const GArray *headers)
+		       const struct tgt_result *result, const GArray *headers)
 {
-	if (end->err)
-		return !end->written;
+	if (result->err)
+		return !result->written;
 	return t->status == 421 ||
 	       msg_headers_get(headers, t->req->gwy->fields.not_run);
 }
@@ -343,22 +343,22 @@
 	gwy_request_resume(req);
 }
 
-static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *end)
+static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *result)
 {
 	struct gwy_attempt *t = arg;
 	struct gwy_request *req = t->req;
 	int64_t now_us = fs_now_us();
-	bool streaming = req->stream == t;
+	bool streaming = req->stream_attempt == t;
 	g_autoptr(GArray) headers = NULL;
 
-	t->err = end->err;
-	t->status = end->err ? 0 : tgt_status(tgt);
-	t->took_us = end->took_us;
+	t->err = result->err;
+	t->status = result->err ? 0 : tgt_status(tgt);
+	t->took_us = result->took_us;
 	if (!streaming)
 		headers = tgt_peek_headers(tgt);
-	t->not_run = !streaming && is_not_run(t, end, headers);
+	t->not_run = !streaming && is_not_run(t, result, headers);
 	/* Nothing was written: the server has not seen this attempt. */
-	if (end->err && !end->written)
+	if (result->err && !result->written)
 		req->attempts_sent--;
 	else if (!t->not_run)
 		req->may_have_run = true;
@@ -382,7 +382,7 @@
 }
 
 /* The body is too long to be buffered: it is forwarded as it arrives. */
-static void on_begun(void *arg, struct tgt *tgt)
+static void on_stream_started(void *arg, struct tgt *tgt)
 {
 	struct gwy_attempt *t = arg;
 	struct gwy_request *req = t->req;
@@ -400,7 +400,7 @@
 	for (uint32_t i = 0; i < req->attempt_count; i++) {
 		struct gwy_attempt *t = &req->attempts[i];
 
-		if (t == req->stream || !t->in_flight)
+		if (t == req->stream_attempt || !t->in_flight)
 			continue;
 		tgt_free(t->tgt);
 		t->tgt = NULL;
@@ -409,12 +409,12 @@
 	}
 }
 
-static void on_more(void *arg, struct tgt *tgt)
+static void on_body_available(void *arg, struct tgt *tgt)
 {
 	const struct gwy_attempt *t = arg;
 
 	(void)tgt;
-	if (t->req->stream == t)
+	if (t->req->stream_attempt == t)
 		gwy_request_resume(t->req);
 }
 
@@ -426,8 +426,8 @@
 }
 
 static const struct tgt_ops attempt_ops = {
-	.begun = on_begun,
-	.more = on_more,
+	.stream_started = on_stream_started,
+	.body_available = on_body_available,
 	.headers_overdue = on_headers_overdue,
 	.done = on_done,
 };
--- a/src/key.c
+++ b/src/key.c
@@ -9,7 +9,7 @@
 	uint32_t shard;
 	bool in_flight;
 	bool local;
-	int64_t taken_us;
+	int64_t admitted_us;
 	GList link; /* position in key_table.order */
 };
 
@@ -65,12 +65,12 @@
 static struct key_item *find(const struct key_table *table, const char *service,
 			     const char *key)
 {
-	struct key_item probe = {
+	struct key_item lookup = {
 		.service = (char *)service,
 		.key = (char *)key,
 	};
 
-	return g_hash_table_lookup(table->items, &probe);
+	return g_hash_table_lookup(table->items, &lookup);
 }
 
 static void remove_item(struct key_table *table, struct key_item *item)
@@ -81,7 +81,7 @@
 
 static bool is_expired(const struct key_item *item, int64_t now_us)
 {
-	return now_us - item->taken_us >= FS_KEY_WINDOW_US &&
+	return now_us - item->admitted_us >= FS_KEY_WINDOW_US &&
 	       !(item->local && item->in_flight);
 }
 
@@ -95,7 +95,7 @@
 	item->shard = entry->shard;
 	item->in_flight = entry->in_flight;
 	item->local = entry->local;
-	item->taken_us = entry->taken_us;
+	item->admitted_us = entry->admitted_us;
 	item->link.data = item;
 	g_hash_table_add(table->items, item);
 	g_queue_push_tail_link(&table->order, &item->link);
@@ -127,7 +127,7 @@
 		.shard = shard,
 		.in_flight = true,
 		.local = true,
-		.taken_us = now_us,
+		.admitted_us = now_us,
 	};
 	int err = key_check(table, service, key, now_us);
 
@@ -164,7 +164,7 @@
 			item->in_flight = false;
 		return 0;
 	}
-	if (now_us - entry->taken_us >= FS_KEY_WINDOW_US)
+	if (now_us - entry->admitted_us >= FS_KEY_WINDOW_US)
 		return 0;
 	if (key_count(table) >= table->max)
 		key_expire(table, now_us);
@@ -184,7 +184,7 @@
 			.shard = item->shard,
 			.in_flight = item->in_flight,
 			.local = item->local,
-			.taken_us = item->taken_us,
+			.admitted_us = item->admitted_us,
 		};
 
 		fn(arg, &entry);
--- a/src/key.h
+++ b/src/key.h
@@ -38,7 +38,7 @@
 	uint32_t shard;
 	bool in_flight;
 	bool local; /* its request is at this node, which calls key_end() */
-	int64_t taken_us;
+	int64_t admitted_us;
 };
 
 typedef void (*key_each_fn)(void *arg, const struct key_entry *entry);
--- a/src/rte.c
+++ b/src/rte.c
@@ -44,14 +44,14 @@
 		       0;
 }
 
-struct best {
+struct route_match {
 	handle route;
 	int host;
 	size_t path;
 };
 
 static void update_best(const struct cfg *cfg, handle i, const char *host,
-			const char *path, struct best *best)
+			const char *path, struct route_match *best)
 {
 	const struct cfg_route *route = &cfg->routes[i];
 	int rank = host_rank(route->host, host);
@@ -61,14 +61,14 @@
 		return;
 	if (best->route == FS_NONE || rank > best->host ||
 	    (rank == best->host && size > best->path))
-		*best = (struct best){i, rank, size};
+		*best = (struct route_match){i, rank, size};
 }
 
 int rte_find(const struct cfg *cfg, const char *host, const char *path,
 	     uint32_t method, handle *route)
 {
-	struct best any = {.route = FS_NONE};
-	struct best allowed = {.route = FS_NONE};
+	struct route_match any = {.route = FS_NONE};
+	struct route_match allowed = {.route = FS_NONE};
 
 	for (handle i = 0; i < cfg->route_count; i++) {
 		update_best(cfg, i, host, path, &any);
--- a/src/tgt.c
+++ b/src/tgt.c
@@ -15,19 +15,19 @@
 /* Notifies the owner, once, which may free the exchange. */
 static void finish(struct tgt *tgt, int err)
 {
-	struct tgt_result e = {
+	struct tgt_result result = {
 		.err = err,
 		.written = tgt->written,
 		.headers_complete = tgt->headers_complete,
 	};
-	int64_t until = tgt->headers_complete ? tgt->headers_at_us :
-						fs_now_us();
+	int64_t until_us = tgt->headers_complete ? tgt->headers_at_us :
+						   fs_now_us();
 
-	e.reused = tgt_reused(tgt);
-	e.took_us = until - tgt->started_us;
+	result.reused = tgt_reused(tgt);
+	result.took_us = until_us - tgt->started_us;
 	tgt->ended = true;
 	ev_timer_stop(crl_loop(tgt->crl), &tgt->timer);
-	tgt->ops->done(tgt->arg, tgt, &e);
+	tgt->ops->done(tgt->arg, tgt, &result);
 }
 
 /* Bytes behind the end show that the answer exceeds its declared length. */
@@ -129,17 +129,17 @@
 	struct tgt *tgt = arg;
 	size_t bytes = size * n;
 
-	if (tgt->begun && tgt->buffer->len + bytes > FS_ANSWER_WINDOW) {
+	if (tgt->streaming && tgt->buffer->len + bytes > FS_ANSWER_WINDOW) {
 		tgt->paused = true;
 		return CURL_WRITEFUNC_PAUSE;
 	}
 	tgt->received += (int64_t)bytes;
 	g_byte_array_append(tgt->buffer, (const guint8 *)data, (guint)bytes);
-	if (tgt->begun) {
-		tgt->ops->more(tgt->arg, tgt);
+	if (tgt->streaming) {
+		tgt->ops->body_available(tgt->arg, tgt);
 	} else if (tgt->buffer->len > FS_ANSWER_WHOLE_MAX) {
-		tgt->begun = true;
-		tgt->ops->begun(tgt->arg, tgt);
+		tgt->streaming = true;
+		tgt->ops->stream_started(tgt->arg, tgt);
 	}
 	return bytes;
 }
@@ -161,12 +161,12 @@
 static void set_timer(struct tgt *tgt, int64_t now_us)
 {
 	struct ev_loop *loop = crl_loop(tgt->crl);
-	int64_t until = tgt->headers_complete ?
-				tgt->deadline_us :
-				MIN(tgt->headers_deadline_us, tgt->deadline_us);
+	int64_t until_us = tgt->headers_complete ? tgt->deadline_us :
+						   MIN(tgt->headers_deadline_us,
+						       tgt->deadline_us);
 
 	ev_timer_stop(loop, &tgt->timer);
-	ev_timer_set(&tgt->timer, (double)MAX(until - now_us, 0) / 1e6, 0.0);
+	ev_timer_set(&tgt->timer, (double)MAX(until_us - now_us, 0) / 1e6, 0.0);
 	ev_timer_start(loop, &tgt->timer);
 }
 
--- a/src/tgt.h
+++ b/src/tgt.h
@@ -51,14 +51,15 @@
 /** Callbacks to the owner of an exchange; never called inside tgt_start(). */
 struct tgt_ops {
 	/** The body is too long to be buffered: its first part can be read. */
-	void (*begun)(void *arg, struct tgt *tgt);
-	/** After begun(): more bytes can be read. */
-	void (*more)(void *arg, struct tgt *tgt);
+	void (*stream_started)(void *arg, struct tgt *tgt);
+	/** After stream_started(): more bytes can be read. */
+	void (*body_available)(void *arg, struct tgt *tgt);
 	/** The header fields did not arrive in time. @return whether to abort
 	 *  the exchange; otherwise it continues until its deadline */
 	bool (*headers_overdue)(void *arg, struct tgt *tgt);
 	/** The end, called once; not after tgt_free(). */
-	void (*done)(void *arg, struct tgt *tgt, const struct tgt_result *end);
+	void (*done)(void *arg, struct tgt *tgt,
+		     const struct tgt_result *result);
 };
 
 /**
@@ -68,12 +69,12 @@
  * complete answer; a connection with such bytes is not reused.
  */
 struct tgt_dialect {
-	const char *request_id;	 /* header field, echoed by the target */
-	const char *deadline_ms; /* header field: what is left, in ms */
-	const char *proof;	 /* header field that only a target's own
+	const char *request_id;	   /* header field, echoed by the target */
+	const char *deadline_ms;   /* header field: what is left, in ms */
+	const char *response_seal; /* header field that only a target's own
 				  * success has */
-	long idle_s;		 /* idle time-out of pooled connections */
-	int64_t connect_us;	 /* longest time to connect */
+	long idle_s;		   /* idle time-out of pooled connections */
+	int64_t connect_us;	   /* longest time to connect */
 };
 
 /** Parameters of an exchange; all of them are copied or referenced. */
--- a/src/tgt_answer.c
+++ b/src/tgt_answer.c
@@ -81,7 +81,7 @@
 	 * from another server or belong to another request. */
 	if (tgt->dialect && tgt->status < 300 &&
 	    (!tgt->request_id_matched ||
-	     !msg_headers_get(tgt->headers, tgt->dialect->proof)))
+	     !msg_headers_get(tgt->headers, tgt->dialect->response_seal)))
 		tgt->invalid = true;
 }
 
--- a/src/tgt_impl.h
+++ b/src/tgt_impl.h
@@ -30,7 +30,7 @@
 	bool past_deadline; /* not written: the deadline had passed */
 	bool connection_stale; /* not written: the pooled connection was not idle */
 	bool ended;
-	bool begun;
+	bool streaming;
 	bool paused;
 
 	/* The answer */
--- a/tests/fleet_gwy.c
+++ b/tests/fleet_gwy.c
@@ -13,7 +13,7 @@
 		{
 			.request_id = "X-Id",
 			.deadline_ms = "X-Left",
-			.proof = "X-Seal",
+			.response_seal = "X-Seal",
 			.idle_s = 3,
 			.connect_us = 300 * FS_US_PER_MS,
 		},
--- a/tests/prop_key.cpp
+++ b/tests/prop_key.cpp
@@ -19,7 +19,7 @@
 struct ModelKey {
 	bool in_flight;
 	bool local;
-	int64_t taken;
+	int64_t admitted_us;
 };
 
 struct Model {
@@ -28,10 +28,11 @@
 	void expire(int64_t now)
 	{
 		for (auto i = keys.begin(); i != keys.end();) {
-			const bool held = i->second.local &&
-					  i->second.in_flight;
+			const bool pending = i->second.local &&
+					     i->second.in_flight;
 
-			if (!held && now - i->second.taken >= FS_KEY_WINDOW_US)
+			if (!pending &&
+			    now - i->second.admitted_us >= FS_KEY_WINDOW_US)
 				i = keys.erase(i);
 			else
 				++i;
--- a/tests/unit_gwy.c
+++ b/tests/unit_gwy.c
@@ -110,7 +110,7 @@
 static void test_buffered_answer(void)
 {
 	const struct fake_request *r;
-	g_autofree char *left = NULL;
+	g_autofree char *left_ms = NULL;
 	g_autofree char *instance = NULL;
 	struct fake *target;
 
@@ -125,9 +125,9 @@
 	g_assert_cmpuint(r->body_size, ==, 3);
 	instance = yard_field(r, "X-For");
 	g_assert_cmpstr(instance, ==, "s0");
-	left = yard_field(r, "X-Left");
-	g_assert_cmpint(atoi(left), <=, YARD_TIMEOUT_MS);
-	g_assert_cmpint(atoi(left), >, YARD_TIMEOUT_MS - 300);
+	left_ms = yard_field(r, "X-Left");
+	g_assert_cmpint(atoi(left_ms), <=, YARD_TIMEOUT_MS);
+	g_assert_cmpint(atoi(left_ms), >, YARD_TIMEOUT_MS - 300);
 	end();
 }
 
@@ -240,14 +240,14 @@
 
 static void test_route_deadline(void)
 {
-	int64_t start_us;
+	int64_t started_us;
 
 	begin();
 	yard_target(&y, "pay", serve_nothing, NULL);
-	start_us = fs_now_us();
+	started_us = fs_now_us();
 	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 504);
-	g_assert_cmpint(fs_now_us() - start_us, <,
+	g_assert_cmpint(fs_now_us() - started_us, <,
 			(YARD_TIMEOUT_MS + 250) * FS_US_PER_MS);
 	end();
 }
--- a/tests/unit_tgt.c
+++ b/tests/unit_tgt.c
@@ -7,59 +7,60 @@
 #define TEST_TIMEOUT_US (3 * FS_US_PER_S) /* for a test to end */
 
 /** One exchange under test. */
-struct probe {
+struct fixture {
 	struct ev_loop *loop;
 	struct tgt_pool *pool;
 	struct fake *fake;
 	struct msg *m;
 	struct tgt *tgt;
-	struct tgt_result end;
+	struct tgt_result result;
 	bool done;
-	bool begun;
-	bool silent;
-	bool give_up;
+	bool streaming;
+	bool headers_overdue;
+	bool abort_if_overdue;
 	GByteArray *body;
 };
 
-static void on_begun(void *arg, struct tgt *tgt)
+static void on_stream_started(void *arg, struct tgt *tgt)
 {
-	struct probe *p = arg;
+	struct fixture *p = arg;
 
 	(void)tgt;
-	p->begun = true;
+	p->streaming = true;
 }
 
-static void on_more(void *arg, struct tgt *tgt)
+static void on_body_available(void *arg, struct tgt *tgt)
 {
 	(void)arg;
 	(void)tgt;
 }
 
-static bool on_silent(void *arg, struct tgt *tgt)
+static bool on_headers_overdue(void *arg, struct tgt *tgt)
 {
-	struct probe *p = arg;
+	struct fixture *p = arg;
 
 	(void)tgt;
-	p->silent = true;
-	return p->give_up;
+	p->headers_overdue = true;
+	return p->abort_if_overdue;
 }
 
-static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *end)
+static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *result)
 {
-	struct probe *p = arg;
+	struct fixture *p = arg;
 	g_autoptr(GBytes) body = tgt_read_body(tgt, SIZE_MAX);
 	gsize size;
 	const guint8 *data = g_bytes_get_data(body, &size);
 
 	g_assert_false(p->done);
-	p->end = *end;
+	p->result = *result;
 	p->done = true;
 	g_byte_array_append(p->body, data, (guint)size);
 }
 
-static const struct tgt_ops ops = {on_begun, on_more, on_silent, on_done};
+static const struct tgt_ops ops = {on_stream_started, on_body_available,
+				   on_headers_overdue, on_done};
 
-static void probe_begin(struct probe *p, fake_serve_fn serve, void *arg)
+static void fixture_begin(struct fixture *p, fake_serve_fn serve, void *arg)
 {
 	struct msg_request *r;
 
@@ -77,7 +78,7 @@
 	r->body = g_bytes_new("12345", 5);
 }
 
-static void probe_end(struct probe *p)
+static void fixture_end(struct fixture *p)
 {
 	if (p->tgt)
 		tgt_free(p->tgt);
@@ -90,11 +91,11 @@
 
 static bool is_done(void *arg)
 {
-	return ((struct probe *)arg)->done;
+	return ((struct fixture *)arg)->done;
 }
 
-static void start(struct probe *p, bool repeatable, int64_t deadline_us,
-		  int64_t head_us)
+static void start(struct fixture *p, bool repeatable, int64_t timeout_us,
+		  int64_t headers_timeout_us)
 {
 	int64_t now_us = fs_now_us();
 	struct tgt_request request = {
@@ -102,8 +103,8 @@
 		.m = &p->m->request,
 		.id = "1-2-3",
 		.repeatable = repeatable,
-		.deadline_us = now_us + deadline_us,
-		.headers_deadline_us = now_us + head_us,
+		.deadline_us = now_us + timeout_us,
+		.headers_deadline_us = now_us + headers_timeout_us,
 	};
 
 	if (p->tgt)
@@ -114,13 +115,13 @@
 	g_assert_nonnull(p->tgt);
 }
 
-static void exchange(struct probe *p, bool repeatable)
+static void exchange(struct fixture *p, bool repeatable)
 {
 	start(p, repeatable, TEST_TIMEOUT_US, TEST_TIMEOUT_US);
 	g_assert_true(fake_run(p->loop, is_done, p, TEST_TIMEOUT_US));
 }
 
-static const struct fake_request *nth_request(const struct probe *p, guint i)
+static const struct fake_request *nth_request(const struct fixture *p, guint i)
 {
 	const GPtrArray *all = fake_requests(p->fake);
 
@@ -130,10 +131,10 @@
 
 static void test_request_as_written(void)
 {
-	struct probe p;
+	struct fixture p;
 	const char *head;
 
-	probe_begin(&p, NULL, NULL);
+	fixture_begin(&p, NULL, NULL);
 	msg_headers_add(p.m->request.headers, "X-Bib", "17");
 	msg_headers_add(p.m->request.headers, "X-Empty", "");
 	msg_headers_add(p.m->request.headers, "Connection", "X-Bib");
@@ -141,7 +142,7 @@
 	msg_headers_add(p.m->request.headers, "Content-Length", "3");
 	msg_headers_add(p.m->request.headers, "Fescuesaddle-Request", "9-9-9");
 	exchange(&p, false);
-	g_assert_cmpint(p.end.err, ==, 0);
+	g_assert_cmpint(p.result.err, ==, 0);
 	g_assert_cmpuint(tgt_status(p.tgt), ==, 200);
 	g_assert_cmpuint(p.body->len, ==, 2);
 	head = nth_request(&p, 0)->head;
@@ -158,7 +159,7 @@
 	g_assert_null(strcasestr(head, "expect"));
 	g_assert_null(strcasestr(head, "x-www-form"));
 	g_assert_cmpstr(nth_request(&p, 0)->body, ==, "12345");
-	probe_end(&p);
+	fixture_end(&p);
 }
 
 /* Answers the first request of a connection and closes after reading the
@@ -182,7 +183,7 @@
 
 static void raw_done(void *arg, CURL *easy, CURLcode code)
 {
-	struct probe *p = arg;
+	struct fixture *p = arg;
 
 	(void)easy;
 	g_assert_cmpint(code, ==, CURLE_OK);
@@ -192,11 +193,11 @@
 /* libcurl alone sends the second POST twice and reports success. */
 static void test_libcurl_repeats_by_itself(void)
 {
-	struct probe p;
+	struct fixture p;
 	CURL *easy = curl_easy_init();
 	g_autofree char *url = NULL;
 
-	probe_begin(&p, close_second, NULL);
+	fixture_begin(&p, close_second, NULL);
 	url = g_strdup_printf("http://%s/pay", fake_address(p.fake));
 	curl_easy_setopt(easy, CURLOPT_URL, url);
 	curl_easy_setopt(easy, CURLOPT_POSTFIELDS, "x");
@@ -209,30 +210,30 @@
 	}
 	g_assert_cmpuint(fake_requests(p.fake)->len, ==, 3);
 	curl_easy_cleanup(easy);
-	probe_end(&p);
+	fixture_end(&p);
 }
 
 static void test_never_written_twice(void)
 {
-	struct probe p;
+	struct fixture p;
 
-	probe_begin(&p, close_second, NULL);
+	fixture_begin(&p, close_second, NULL);
 	/* Leaves a connection in the pool. */
 	exchange(&p, true);
-	g_assert_cmpint(p.end.err, ==, 0);
+	g_assert_cmpint(p.result.err, ==, 0);
 	/* Not repeatable: its own connection, whatever the pool has. */
 	exchange(&p, false);
-	g_assert_cmpint(p.end.err, ==, 0);
-	g_assert_false(p.end.reused);
+	g_assert_cmpint(p.result.err, ==, 0);
+	g_assert_false(p.result.reused);
 	g_assert_cmpuint(fake_requests(p.fake)->len, ==, 2);
 	g_assert_cmpuint(nth_request(&p, 1)->connection, ==, 2);
 	/* Repeatable: the pooled one, which closes; not sent again. */
 	exchange(&p, true);
-	g_assert_cmpint(p.end.err, ==, FS_E_TARGET_RESET);
-	g_assert_true(p.end.written);
-	g_assert_true(p.end.reused);
+	g_assert_cmpint(p.result.err, ==, FS_E_TARGET_RESET);
+	g_assert_true(p.result.written);
+	g_assert_true(p.result.reused);
 	g_assert_cmpuint(fake_requests(p.fake)->len, ==, 3);
-	probe_end(&p);
+	fixture_end(&p);
 }
 
 /** One answer of a target, and the expected result. */
@@ -307,18 +308,18 @@
 static void test_answer_framing(gconstpointer data)
 {
 	const struct answer_case *c = data;
-	struct probe p;
+	struct fixture p;
 
-	probe_begin(&p, serve_case, (void *)c);
+	fixture_begin(&p, serve_case, (void *)c);
 	g_free(p.m->request.method);
 	p.m->request.method = g_strdup(c->method);
 	exchange(&p, true);
-	g_assert_cmpstr(fs_err_name(p.end.err), ==, fs_err_name(c->err));
+	g_assert_cmpstr(fs_err_name(p.result.err), ==, fs_err_name(c->err));
 	if (c->body)
 		g_assert_cmpmem(p.body->data, p.body->len, c->body,
 				strlen(c->body));
 	g_assert_cmpuint(fake_requests(p.fake)->len, ==, 1);
-	probe_end(&p);
+	fixture_end(&p);
 }
 
 /* Late bytes behind an answer must not be read as the next answer. */
@@ -336,43 +337,43 @@
 
 static void test_late_trailing_bytes_are_discarded(void)
 {
-	struct probe p;
+	struct fixture p;
 
-	probe_begin(&p, serve_late_trailing_bytes, NULL);
+	fixture_begin(&p, serve_late_trailing_bytes, NULL);
 	exchange(&p, true);
 	fake_run(p.loop, NULL, NULL, 100 * FS_US_PER_MS);
 	exchange(&p, true);
-	g_assert_cmpint(p.end.err, ==, 0);
+	g_assert_cmpint(p.result.err, ==, 0);
 	g_assert_cmpmem(p.body->data, p.body->len, "own", 3);
-	probe_end(&p);
+	fixture_end(&p);
 }
 
 static void test_refused_connection_is_not_written(void)
 {
-	struct probe p;
+	struct fixture p;
 
-	probe_begin(&p, NULL, NULL);
+	fixture_begin(&p, NULL, NULL);
 	fake_refuse(p.fake);
 	exchange(&p, false);
-	g_assert_cmpint(p.end.err, ==, FS_E_CONNECT);
-	g_assert_false(p.end.written);
-	probe_end(&p);
+	g_assert_cmpint(p.result.err, ==, FS_E_CONNECT);
+	g_assert_false(p.result.written);
+	fixture_end(&p);
 }
 
 /* The process was paused until after the deadline. */
 static void test_late_request_is_not_written(void)
 {
-	struct probe p;
+	struct fixture p;
 
-	probe_begin(&p, NULL, NULL);
+	fixture_begin(&p, NULL, NULL);
 	start(&p, false, 50 * FS_US_PER_MS, 50 * FS_US_PER_MS);
 	g_usleep(100 * FS_US_PER_MS);
 	g_assert_true(fake_run(p.loop, is_done, &p, TEST_TIMEOUT_US));
-	g_assert_cmpint(p.end.err, !=, 0);
-	g_assert_false(p.end.written);
+	g_assert_cmpint(p.result.err, !=, 0);
+	g_assert_false(p.result.written);
 	fake_run(p.loop, NULL, NULL, 50 * FS_US_PER_MS);
 	g_assert_cmpuint(fake_requests(p.fake)->len, ==, 0);
-	probe_end(&p);
+	fixture_end(&p);
 }
 
 static void serve_nothing(void *arg, struct fake_conn *conn,
@@ -385,43 +386,43 @@
 
 static void test_headers_timeout(void)
 {
-	struct probe p;
+	struct fixture p;
 
-	probe_begin(&p, serve_nothing, NULL);
+	fixture_begin(&p, serve_nothing, NULL);
 	start(&p, true, 200 * FS_US_PER_MS, 50 * FS_US_PER_MS);
 	g_assert_true(fake_run(p.loop, is_done, &p, TEST_TIMEOUT_US));
-	g_assert_true(p.silent);
-	g_assert_cmpint(p.end.err, ==, FS_E_DEADLINE);
-	g_assert_cmpint(p.end.took_us, >=, 200 * FS_US_PER_MS);
-	p.give_up = true;
+	g_assert_true(p.headers_overdue);
+	g_assert_cmpint(p.result.err, ==, FS_E_DEADLINE);
+	g_assert_cmpint(p.result.took_us, >=, 200 * FS_US_PER_MS);
+	p.abort_if_overdue = true;
 	start(&p, true, TEST_TIMEOUT_US, 50 * FS_US_PER_MS);
 	g_assert_true(fake_run(p.loop, is_done, &p, TEST_TIMEOUT_US));
-	g_assert_cmpint(p.end.err, ==, FS_E_DEADLINE);
-	g_assert_true(p.end.written);
-	g_assert_cmpint(p.end.took_us, <, FS_US_PER_S);
+	g_assert_cmpint(p.result.err, ==, FS_E_DEADLINE);
+	g_assert_true(p.result.written);
+	g_assert_cmpint(p.result.took_us, <, FS_US_PER_S);
 	fake_run(p.loop, NULL, NULL, 50 * FS_US_PER_MS);
 	g_assert_cmpuint(fake_open(p.fake), ==, 0);
-	probe_end(&p);
+	fixture_end(&p);
 }
 
 static void test_request_validity(void)
 {
-	static const char *const bad_targets[] = {"pay", "/a b", "/a\r\nX: y",
-						  "/\x7f", ""};
-	struct probe p;
+	static const char *const invalid_targets[] = {
+		"pay", "/a b", "/a\r\nX: y", "/\x7f", ""};
+	struct fixture p;
 
-	probe_begin(&p, NULL, NULL);
+	fixture_begin(&p, NULL, NULL);
 	g_assert_true(tgt_request_valid(&p.m->request));
-	for (size_t i = 0; i < G_N_ELEMENTS(bad_targets); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid_targets); i++) {
 		g_free(p.m->request.target);
-		p.m->request.target = g_strdup(bad_targets[i]);
+		p.m->request.target = g_strdup(invalid_targets[i]);
 		g_assert_false(tgt_request_valid(&p.m->request));
 	}
 	g_free(p.m->request.target);
 	p.m->request.target = g_strdup("/");
 	msg_headers_add(p.m->request.headers, "X", "a\r\nY: b");
 	g_assert_false(tgt_request_valid(&p.m->request));
-	probe_end(&p);
+	fixture_end(&p);
 }
 
 static void add_cases(void)
