--- a/src/adm.c
+++ b/src/adm.c
@@ -1,13 +1,13 @@
 #include "adm.h"
 
-/* Share of the time left until the objective, less the mean service time, that
- * the wait may take: service times vary, and load counts are a few tenths of a
- * second old. */
+/* The expected wait may take this share of the time left until the objective,
+ * less the mean service time: service times vary, and load counts are a few
+ * tenths of a second old. */
 #define QUEUE_SLACK_SHARE 0.75
-/* A request without an attempt is parked for this share of its objective; a
- * later refusal costs its caller time for nothing. */
+/* A request without an attempt is parked for at most this share of its
+ * objective; a later refusal would only cost its caller time. */
 #define PARK_OBJECTIVE_SHARE 0.3
-/* Parked requests are refused with less than this many mean times left. */
+/* Parked requests are refused with at most this many mean service times left. */
 #define PARK_TIME_LEFT_MEANS 1.5
 #define RETRY_AFTER_MIN_US (200 * FS_US_PER_MS)
 
--- a/src/adm.h
+++ b/src/adm.h
@@ -26,7 +26,7 @@
 	int64_t left_us;      /* until its deadline */
 	int64_t objective_us; /* of its route, from its arrival */
 	int64_t mean_us;      /* mean service time */
-	int64_t wait_us;      /* for a slot at the best target */
+	int64_t wait_us;      /* expected, for a slot at the best target */
 	bool has_capacity;    /* a target has free slots */
 	bool attempted;	      /* it had an attempt, and a retry is allowed */
 };
--- a/src/bud.c
+++ b/src/bud.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-/* A tenth stays unused: a node may count live nodes as dead. */
+/* A tenth is reserved: a node may count live nodes as dead. */
 #define BUDGET_SHARE 0.9
 
-/* A rate covers this many full buckets and the one being filled. */
+/* A rate is averaged over this many full buckets and the one being filled. */
 #define RATE_BUCKETS 4u
 
 /* Clears buckets that expired since the last call. Returns the newest one. */
--- a/src/bud.h
+++ b/src/bud.h
@@ -3,7 +3,7 @@
  * @brief A node's share of the fleet's retry budget. Pure.
  *
  * Within any window the fleet may retry up to a ratio of a service's requests
- * plus a slack. Each node keeps to that ratio of its own requests and to its
+ * plus a slack. Each node stays within that ratio of its own requests and its
  * part of the slack, so that the sum holds without messages. Counts are kept
  * in buckets over the window.
  */
@@ -18,7 +18,7 @@
 struct bud_rule {
 	double ratio;	   /* retries per request */
 	double slack;	   /* retries of the whole fleet per window */
-	int64_t window_us; /* every span of this length counts */
+	int64_t window_us; /* the limit applies to every span of this length */
 };
 
 /** Requests and retries of one node for one service. */
--- a/src/gwy.c
+++ b/src/gwy.c
@@ -4,13 +4,13 @@
 
 #include "fs_log.h"
 
-/* For header fields of up to the configured limit in both directions. */
+/* Holds header fields of up to the configured limit in both directions. */
 #define CONNECTION_MEMORY (40 * 1024) /* bytes */
 /* File descriptors reserved for targets, peers, the store and files. */
 #define RESERVED_FDS 700
 #define CONNECTIONS_MIN 64
-#define BODY_MEMORY_DIVISOR \
-	4 /* buffered bodies use at most a quarter of the memory */
+/* Buffered bodies use at most a quarter of the memory. */
+#define BODY_MEMORY_DIVISOR 4
 
 static void apply_config(struct gwy *gwy, struct cfg *cfg)
 {
@@ -125,7 +125,7 @@
 	return gwy;
 }
 
-/* MHD may not be stopped while connections are suspended. */
+/* Resumes all connections: MHD must not be stopped while one is suspended. */
 static void cancel_all_requests(struct gwy *gwy)
 {
 	g_autoptr(GList) all = g_hash_table_get_keys(gwy->requests);
--- a/src/gwy_answer.c
+++ b/src/gwy_answer.c
@@ -135,8 +135,8 @@
 	queue_answer(req, response, row->status);
 }
 
-/* Hands buffered bytes to MHD. A failed stream ends with an error: MHD closes
- * the connection before the announced length or the last chunk. */
+/* Copies buffered bytes to MHD. A failed stream ends with an error: MHD closes
+ * the connection before the declared length or the last chunk. */
 static ssize_t read_body(void *arg, uint64_t at, char *buf, size_t max)
 {
 	struct gwy_request *req = arg;
--- a/src/gwy_choose.c
+++ b/src/gwy_choose.c
@@ -1,20 +1,20 @@
 #include "gwy_impl.h"
 
-/* Cost of a failure in objectives of the route. A request that is not
- * repeatable is lost, which costs several times its allowed time; another one
- * costs a retry, which the budget may not have. */
+/* Cost of a failure, in multiples of the route's objective. A request that is
+ * not repeatable is lost, which costs several times its allowed time. Another
+ * one costs a retry, for which the budget may be exhausted. */
 #define FAILURE_COST_UNSAFE 12
 #define FAILURE_COST_REPEATABLE 4
-/* Another failure domain is used when waits or failures in the own one cost
- * more than this. Bytes between domains are expensive: an answer of 90 kB
- * costs as much as three requests in the more expensive deployment, and
- * therefore waits for its own domain. */
+/* Another failure domain is used when waits or failures in the local one cost
+ * more than this. Traffic between domains is expensive: an answer of 90 kB
+ * costs as much as three requests in the more expensive deployment, so such
+ * requests wait for a target in the local domain. */
 #define CROSS_DOMAIN_US (120 * FS_US_PER_MS)
-#define CROSS_DOMAIN_BYTE_US 60
+#define CROSS_DOMAIN_BYTE_US 60		 /* per byte of the mean answer */
 #define OBJECTIVE_DEFAULT_US FS_US_PER_S /* of routes without one */
 
-/* Expected waits are accurate to within a quarter: a wait longer than the time
- * left by more than that factor can't be met. */
+/* Expected waits are accurate to within a quarter: a request whose expected
+ * wait exceeds the time left by more than that misses its deadline. */
 #define WAIT_TOLERANCE 1.25
 
 uint64_t gwy_random(struct gwy *gwy)
@@ -79,7 +79,8 @@
 	if (!choice.target ||
 	    !gwy_choose_wait_exceeds_deadline(req, choice.wait_us, now_us))
 		return choice;
-	/* The wait would miss the deadline: a suspected target is better. */
+	/* The wait exceeds the deadline, so that the costs of failures and of other
+	 * domains no longer matter: a suspected target is better. */
 	query.failure_cost_us = 0;
 	query.cross_domain_cost_us = 0;
 	return bal_choose(targets, &query);
--- a/src/gwy_http.c
+++ b/src/gwy_http.c
@@ -4,8 +4,9 @@
 #include "gwy_impl.h"
 #include "rte.h"
 
-#define REQUEST_ID_MAX \
-	128 /* bytes of a caller's request id that are forwarded */
+/* Longest request id of a caller that is forwarded, in bytes; a longer one is
+ * replaced. */
+#define REQUEST_ID_MAX 128
 
 /* Connections are closed this much after the advertised idle time-out. */
 #define IDLE_MARGIN_S 1
@@ -124,7 +125,7 @@
 				IDLE_MARGIN_S);
 }
 
-/* Checks that need no configuration. */
+/* Does the checks that need no configuration. */
 static int validate(struct gwy_request *req, const char *version)
 {
 	struct msg_request *request = &req->m->request;
@@ -142,7 +143,7 @@
 	return 0;
 }
 
-/* Finds the route; the request keeps the current configuration to its end. */
+/* Finds the route. The request uses the current configuration until it ends. */
 static int resolve_route(struct gwy_request *req)
 {
 	struct msg_request *request = &req->m->request;
@@ -166,7 +167,7 @@
 	return gwy->cfg && gwy->node->ready;
 }
 
-/* Checks everything that can be refused before the body is read. */
+/* Does all checks that are possible before the body is read. */
 static void check_headers(struct gwy_request *req, const char *method,
 			  const char *version)
 {
@@ -218,7 +219,7 @@
 			  now_us);
 }
 
-/* The request is complete. */
+/* Starts the first attempt of a completely received request. */
 static void dispatch(struct gwy_request *req, int64_t now_us)
 {
 	if (!req->err && !req->cfg) {
--- a/src/gwy_impl.h
+++ b/src/gwy_impl.h
@@ -18,12 +18,12 @@
 
 /* The caller's time-out includes the transfer of the answer. */
 #define GWY_DEADLINE_MARGIN_US (25 * FS_US_PER_MS)
-/* For requests with neither the route's limit nor the caller's. */
+/* For requests without a limit of the route or of the caller. */
 #define GWY_DEADLINE_DEFAULT_US (30 * FS_US_PER_S)
-/* How long after its start a node defers requests that arrive before its
- * configuration, which takes a tenth of this. */
+/* Until this long after its start a node defers requests while it has no
+ * configuration; loading it takes a tenth of this. */
 #define GWY_DEFER_MAX_US (800 * FS_US_PER_MS)
-/* With less time left no target can answer. */
+/* No attempt starts with less time left: no target can answer in it. */
 #define GWY_TIME_LEFT_MIN_US (20 * FS_US_PER_MS)
 
 struct gwy_request;
@@ -32,7 +32,7 @@
 struct gwy_attempt {
 	struct gwy_request *req;
 	struct dir_target *target; /* referenced */
-	struct tgt *tgt;	   /* NULL after the end */
+	struct tgt *tgt;	   /* NULL once freed */
 	int64_t started_us;
 	int64_t wait_us; /* expected wait for a slot, at the start */
 	bool in_flight;	 /* occupies a slot at the target */
@@ -79,11 +79,11 @@
 	uint32_t attempts_in_flight; /* attempts that have not ended */
 	uint32_t attempts_sent; /* attempts that may have reached a server */
 	bool may_have_run;
-	bool parked; /* waits here until a target has capacity */
+	bool parked;		     /* deferred until a target has capacity */
 	const char *no_retry_reason; /* why there was no retry, for the log */
 	ev_timer timer;
-	struct htd_gone
-		disconnect_watch; /* the caller's connection, while suspended */
+	/* The caller's connection, while suspended. */
+	struct htd_gone disconnect_watch;
 	/* The answer */
 	struct MHD_Response *response;
 	unsigned int status;
@@ -102,8 +102,8 @@
 	struct cfg *cfg;
 	struct mem_view *view;
 	GHashTable *budgets; /* service name to struct bud */
-	GHashTable *
-		mean_answer_bytes; /* route name to double *, mean answer bytes */
+	/* Route name to double *, the mean size of its answers. */
+	GHashTable *mean_answer_bytes;
 	struct bud_rule budget_rule;
 	GHashTable *requests; /* struct gwy_request */
 	uint64_t random_state;
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -1,17 +1,18 @@
 #include "gwy_impl.h"
 
-/* An answer is overdue after 2.5 mean times, which one request in twenty of
- * the deployments' work exceeds, but not before half of the route's
+/* An answer is overdue after 2.5 mean latencies, which one request in twenty
+ * of the deployments' workloads exceeds, but not before half of the route's
  * objective. */
 #define OVERDUE_MEANS 2.5
 #define OVERDUE_OBJECTIVE_SHARE 0.5
-/* A hedge starts at the latest this many mean times before the deadline: nine
- * of ten requests take no longer. */
+/* A hedge starts at the latest this many mean latencies before the deadline:
+ * nine of ten requests take no longer. */
 #define HEDGE_MARGIN_MEANS 2.0
-/* Such a late hedge needs more than this share of the budget. */
+/* A hedge at that latest time requires that more than this share of the retry
+ * budget's slack is left. */
 #define HEDGE_BUDGET_SHARE 0.3
 
-/* Failure probability of a target after one overdue answer; from here on a
+/* Failure probability of a target after one overdue answer; at or above it a
  * hedge may answer sooner. */
 #define HEDGE_FAILURE_PROBABILITY 0.3
 
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -2,10 +2,11 @@
 
 #include "rty.h"
 
-/* Interval at which a parked request looks for a target with capacity. */
+/* Interval at which a parked request checks for a target with capacity. */
 #define PARK_POLL_US (50 * FS_US_PER_MS)
 
-/* Jitter of Retry-After, so that refused callers do not return at once. */
+/* Jitter of Retry-After, so that refused callers do not return at the same
+ * time. */
 #define RETRY_AFTER_JITTER_US (400 * FS_US_PER_MS)
 
 static struct adm_input admission_input(const struct gwy_request *req,
@@ -324,7 +325,7 @@
 		now_us);
 }
 
-/* Other answers are forwarded only if no retry is possible. */
+/* An answer that is no success is forwarded only if no retry is possible. */
 static bool is_success(const struct gwy_attempt *t)
 {
 	return !t->err && !t->not_run && t->status < 500;
--- a/src/gwy_stop.c
+++ b/src/gwy_stop.c
@@ -6,8 +6,8 @@
 /* Callers cache the address of this node for two seconds; until then new
  * connections are accepted. */
 #define ACCEPT_US (2200 * FS_US_PER_MS)
-/* Idle connections are then closed by the end of the process; a request that
- * crosses the close has not been read. */
+/* Idle connections stay open until the process exits; a request that arrives
+ * during the close has not been read. */
 #define CLOSE_GRACE_US (300 * FS_US_PER_MS)
 /* Requests in flight are cut only shortly before the process is killed. */
 #define KILL_MARGIN_US (350 * FS_US_PER_MS)
--- a/src/key.h
+++ b/src/key.h
@@ -37,7 +37,7 @@
 	const char *key;
 	uint32_t shard;
 	bool in_flight;
-	bool local; /* its request is at this node, which calls key_end() */
+	bool local; /* its request runs at this node, which calls key_end() */
 	int64_t admitted_us;
 };
 
@@ -63,10 +63,12 @@
 void key_end(struct key_table *table, const char *service, const char *key,
 	     bool not_run);
 
-/** Merges a key from the former dispatcher of its shard. A local entry has
- * precedence, except that a remote key in flight becomes spent if the new
- * entry says so.
- * @return 0 or FS_E_NO_MEMORY */
+/**
+ * Merges a key from the former dispatcher of its shard. An existing entry has
+ * precedence, except that a key in flight that is not local becomes spent if
+ * the new entry is spent.
+ * @return 0 or FS_E_NO_MEMORY
+ */
 int key_merge(struct key_table *table, const struct key_entry *entry,
 	      int64_t now_us);
 
--- a/src/rte.c
+++ b/src/rte.c
@@ -78,8 +78,8 @@
 	*route = allowed.route;
 	if (any.route == FS_NONE)
 		return FS_E_NO_ROUTE;
-	/* A longer prefix or an exact host matches even if it refuses the method:
-	 * the shorter one has other rules. */
+	/* A longer prefix or an exact host wins even if it refuses the method:
+	 * the route with the shorter one has other rules. */
 	if (allowed.route == FS_NONE || allowed.host != any.host ||
 	    allowed.path != any.path) {
 		*route = FS_NONE;
--- a/src/rte.h
+++ b/src/rte.h
@@ -3,8 +3,9 @@
  * @brief Finds the route of a request. Pure.
  *
  * A host is compared without its port and without regard to case; an exact
- * host goes before "*". Within a host the longest path prefix wins, compared
- * at "/" boundaries: "/pay" matches "/pay" and "/pay/1", not "/payslips".
+ * host takes precedence over "*". Within a host the longest path prefix wins,
+ * compared at "/" boundaries: "/pay" matches "/pay" and "/pay/1", not
+ * "/payslips".
  */
 #ifndef RTE_H
 #define RTE_H
--- a/src/rty.h
+++ b/src/rty.h
@@ -15,7 +15,7 @@
 #include "fs_types.h"
 
 #define RTY_COST_MILLI 1000	  /* one retry, in thousandths */
-#define RTY_BURST_MAX_MILLI 10000 /* most that is saved up */
+#define RTY_BURST_MAX_MILLI 10000 /* most that accumulates */
 #define RTY_RATE_MILLI 1000	  /* added per second */
 
 /** A budget in thousandths of a retry. */
@@ -27,11 +27,11 @@
 /** Initialises a budget to its maximum. */
 void rty_budget_init(struct rty_budget *budget, int64_t now_us);
 
-/** Adds the share of one request. */
+/** Adds the share of one request to the budget. */
 void rty_budget_earn(struct rty_budget *budget, uint32_t retry_percent,
 		     int64_t now_us);
 
-/** Returns what is left in thousandths of a retry. */
+/** Returns the budget that is left, in thousandths of a retry. */
 int64_t rty_budget_milli(struct rty_budget *budget, int64_t now_us);
 
 /** Spends one retry that rty_allowed() has granted. */
--- a/src/tgt.h
+++ b/src/tgt.h
@@ -39,7 +39,7 @@
 
 /** How an exchange ended. */
 struct tgt_result {
-	int err;      /* 0: a whole answer; FS_E_CONNECT, FS_E_DEADLINE,
+	int err;      /* 0: a complete answer; FS_E_CONNECT, FS_E_DEADLINE,
 			  * FS_E_TARGET_RESET, FS_E_TRUNCATED or
 			  * FS_E_ANSWER_INVALID */
 	bool written; /* a byte of the request may have reached the target */
@@ -54,8 +54,11 @@
 	void (*stream_started)(void *arg, struct tgt *tgt);
 	/** After stream_started(): more bytes can be read. */
 	void (*body_available)(void *arg, struct tgt *tgt);
-	/** The header fields did not arrive in time. @return whether to abort
-	 *  the exchange; otherwise it continues until its deadline */
+	/**
+	 * The header fields did not arrive in time.
+	 * @return whether to abort the exchange; otherwise it continues until
+	 *         its deadline
+	 */
 	bool (*headers_overdue)(void *arg, struct tgt *tgt);
 	/** The end, called once; not after tgt_free(). */
 	void (*done)(void *arg, struct tgt *tgt,
@@ -64,17 +67,17 @@
 
 /**
  * Differences of a platform's targets from the fleet's own interface.
- * They identify an answer by the caller's request id and mark a success with a
- * proof field, may end a body with its connection, and may send bytes behind a
+ * They identify an answer by the caller's request id, mark a success with a
+ * seal, may end a body with its connection, and may send bytes behind a
  * complete answer; a connection with such bytes is not reused.
  */
 struct tgt_dialect {
-	const char *request_id;	   /* header field, echoed by the target */
-	const char *deadline_ms;   /* header field: what is left, in ms */
-	const char *response_seal; /* header field that only a target's own
-				  * success has */
-	long idle_s;		   /* idle time-out of pooled connections */
-	int64_t connect_us;	   /* longest time to connect */
+	const char *request_id;	 /* header field, echoed by the target */
+	const char *deadline_ms; /* header field: time left, in ms */
+	/** Header field that only a target's own success has. */
+	const char *response_seal;
+	long idle_s;	    /* idle time-out of pooled connections */
+	int64_t connect_us; /* longest time to connect */
 };
 
 /** Parameters of an exchange; all of them are copied or referenced. */
@@ -92,8 +95,10 @@
 /** Returns whether a request can be written unchanged: no control bytes. */
 bool tgt_request_valid(const struct msg_request *m);
 
-/** Starts an exchange.
- * @return NULL if libcurl can't add the transfer; nothing was written then */
+/**
+ * Starts an exchange.
+ * @return NULL if libcurl can't add the transfer; nothing was written then
+ */
 struct tgt *tgt_start(struct tgt_pool *pool, const struct tgt_request *request,
 		      const struct tgt_ops *ops, void *arg, int64_t now_us);
 
@@ -113,17 +118,19 @@
 /** Returns the status of the answer. */
 uint32_t tgt_status(const struct tgt *tgt);
 
-/** Returns the header fields with a new reference; they stay the answer's. */
+/** Returns a new reference to the header fields. */
 GArray *tgt_peek_headers(struct tgt *tgt);
 
-/** Returns the header fields without hop-by-hop ones and clears them. */
+/** Moves the header fields, without hop-by-hop ones, to the caller. */
 GArray *tgt_steal_headers(struct tgt *tgt);
 
-/** Returns whether the answer says that the target is leaving. */
+/** Returns whether the answer states that the target is draining. */
 bool tgt_draining(const struct tgt *tgt);
 
-/** Returns the length of the complete body, or -1 if unknown; of an answer to
- *  HEAD, that of the body which is not sent. */
+/**
+ * Returns the length of the complete body, or -1 if unknown; for an answer to
+ * HEAD, that of the body which is not sent.
+ */
 int64_t tgt_length(const struct tgt *tgt);
 
 /** Reads and removes up to @p max bytes of the buffered body. */
--- a/src/tgt_answer.c
+++ b/src/tgt_answer.c
@@ -23,7 +23,7 @@
 	tgt->length = length;
 }
 
-/* Rejects an answer to another request, which may arrive on this connection. */
+/* Rejects an answer to another request, should it arrive on this connection. */
 static void read_request_id(struct tgt *tgt, const char *value)
 {
 	tgt->request_id_matched = !strcmp(value, tgt->id);
@@ -77,7 +77,7 @@
 	if (tgt_has_body(tgt) && !tgt->chunked && tgt->length < 0 &&
 	    !tgt->dialect)
 		tgt->invalid = true;
-	/* A success that does not name its request, or has no proof, may come
+	/* A success that does not name its request, or has no seal, may come
 	 * from another server or belong to another request. */
 	if (tgt->dialect && tgt->status < 300 &&
 	    (!tgt->request_id_matched ||
--- a/src/tgt_impl.h
+++ b/src/tgt_impl.h
@@ -28,7 +28,8 @@
 	bool written; /* a byte of the request may have reached the target */
 	bool reused;  /* the connection came from the pool */
 	bool past_deadline; /* not written: the deadline had passed */
-	bool connection_stale; /* not written: the pooled connection was not idle */
+	/* Not written: the pooled connection was closed or had unread bytes. */
+	bool connection_stale;
 	bool ended;
 	bool streaming;
 	bool paused;
--- a/src/tgt_pool.h
+++ b/src/tgt_pool.h
@@ -30,8 +30,10 @@
 /** Returns the object that runs the pool's transfers. */
 struct crl *tgt_pool_crl(const struct tgt_pool *pool);
 
-/** Makes the pool open and close the sockets of an easy handle.
- *  @param fd  out: set when a socket is opened; lives as long as the handle */
+/**
+ * Makes the pool open and close the sockets of an easy handle.
+ * @param fd  out: set when a socket is opened; lives as long as the handle
+ */
 void tgt_pool_attach(struct tgt_pool *pool, CURL *easy, curl_socket_t *fd);
 
 /** Records the socket of a new connection. */
--- a/src/tgt_request.c
+++ b/src/tgt_request.c
@@ -84,7 +84,7 @@
 	tgt->fields = curl_slist_append(tgt->fields, line);
 }
 
-/* A name with a colon and no value suppresses libcurl's own field. */
+/* In libcurl, a name with a colon and no value suppresses its default field. */
 static void suppress_field(struct tgt *tgt, const char *line)
 {
 	tgt->fields = curl_slist_append(tgt->fields, line);
--- a/tests/prop_key.cpp
+++ b/tests/prop_key.cpp
@@ -1,6 +1,6 @@
 /* Idempotency keys against a reference model: no key runs while an earlier
  * request with it runs, ran or may have run within the window; the table is
- * bounded and evicts nothing early.
+ * bounded and evicts no key before its window has passed.
  */
 #include <rapidcheck.h>
 
--- a/tests/unit_adm.c
+++ b/tests/unit_adm.c
@@ -1,4 +1,4 @@
-/* Admission in virtual time, one test a pattern of load. No network, no clock.
+/* Admission in virtual time, one test per load pattern. No network, no clock.
  */
 #include <glib.h>
 
--- a/tests/unit_gwy.c
+++ b/tests/unit_gwy.c
@@ -160,7 +160,7 @@
 	end();
 }
 
-static void test_failure_is_passed_on_if_unsafe(void)
+static void test_failure_is_forwarded_if_unsafe(void)
 {
 	int failed = 0;
 
@@ -238,6 +238,7 @@
 	end();
 }
 
+/* The request is refused when the route's time limit expires, not later. */
 static void test_route_deadline(void)
 {
 	int64_t started_us;
@@ -382,7 +383,7 @@
 
 static struct fake_conn *flooded_conn;
 
-/* Begins an answer that the test goes on with. */
+/* Starts an answer that the test continues. */
 static void serve_partial(void *arg, struct fake_conn *conn,
 			  const struct fake_request *request)
 {
@@ -391,7 +392,7 @@
 	fake_send_text(conn, arg);
 }
 
-/* Sends a piece again and again until the gateway closes the connection. */
+/* Sends a piece repeatedly until the gateway closes the connection. */
 static void flood(const struct fake *target, const char *piece,
 		  int64_t limit_us)
 {
@@ -419,7 +420,7 @@
 	end();
 }
 
-/* One header line without end. */
+/* The same limit applies to a single endless header line. */
 static void test_endless_header_line_is_rejected(void)
 {
 	g_autofree char *piece = g_strnfill(16 * 1024, 'x');
@@ -495,8 +496,8 @@
 			test_waiting_does_not_spin);
 	g_test_add_func("/gwy/failure_is_retried_if_safe",
 			test_failure_is_retried_if_safe);
-	g_test_add_func("/gwy/failure_is_passed_on_if_unsafe",
-			test_failure_is_passed_on_if_unsafe);
+	g_test_add_func("/gwy/failure_is_forwarded_if_unsafe",
+			test_failure_is_forwarded_if_unsafe);
 	g_test_add_func("/gwy/not_run_is_retried", test_not_run_is_retried);
 	g_test_add_func("/gwy/reset_may_have_run", test_reset_may_have_run);
 	g_test_add_func("/gwy/unreachable_is_not_run",
--- a/tests/unit_rte.c
+++ b/tests/unit_rte.c
@@ -28,8 +28,8 @@
 	check("a.example.org", "/x", "GET", 0, 0);
 }
 
-/* A shorter prefix has other rules: it does not take over a method that the
- * longer one refuses. */
+/* A shorter prefix has other rules: it does not serve a method that the longer
+ * one refuses. */
 static void test_refused_method_goes_nowhere_else(void)
 {
 	check("h", "/pay", "GET", FS_E_METHOD, FS_NONE);
--- a/tests/unit_tgt.c
+++ b/tests/unit_tgt.c
@@ -163,7 +163,7 @@
 }
 
 /* Answers the first request of a connection and closes after reading the
- * second, as a target does whose keep-alive ends at the wrong moment. */
+ * second, like a target whose idle time-out expires as the request arrives. */
 static void close_second(void *arg, struct fake_conn *conn,
 			 const struct fake_request *request)
 {
@@ -191,7 +191,7 @@
 }
 
 /* libcurl alone sends the second POST twice and reports success. */
-static void test_libcurl_repeats_by_itself(void)
+static void test_libcurl_retries_by_itself(void)
 {
 	struct fixture p;
 	CURL *easy = curl_easy_init();
@@ -221,13 +221,13 @@
 	/* Leaves a connection in the pool. */
 	exchange(&p, true);
 	g_assert_cmpint(p.result.err, ==, 0);
-	/* Not repeatable: its own connection, whatever the pool has. */
+	/* Not repeatable: a connection of its own, although one is pooled. */
 	exchange(&p, false);
 	g_assert_cmpint(p.result.err, ==, 0);
 	g_assert_false(p.result.reused);
 	g_assert_cmpuint(fake_requests(p.fake)->len, ==, 2);
 	g_assert_cmpuint(nth_request(&p, 1)->connection, ==, 2);
-	/* Repeatable: the pooled one, which closes; not sent again. */
+	/* Repeatable: the pooled connection, which closes; no retry. */
 	exchange(&p, true);
 	g_assert_cmpint(p.result.err, ==, FS_E_TARGET_RESET);
 	g_assert_true(p.result.written);
@@ -271,7 +271,7 @@
 	{"short_chunks", "GET",
 	 OK "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", true,
 	 FS_E_TRUNCATED, NULL},
-	{"end_not_told", "GET", OK "\r\nabc", true, FS_E_ANSWER_INVALID, NULL},
+	{"no_framing", "GET", OK "\r\nabc", true, FS_E_ANSWER_INVALID, NULL},
 	{"too_long", "GET", OK "Content-Length: 1\r\n\r\nabc", false,
 	 FS_E_ANSWER_INVALID, NULL},
 	{"too_long_then_close", "GET", OK "Content-Length: 1\r\n\r\nabc", true,
@@ -441,8 +441,8 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/tgt/request_as_written", test_request_as_written);
 	g_test_add_func("/tgt/request_validity", test_request_validity);
-	g_test_add_func("/tgt/libcurl_repeats_by_itself",
-			test_libcurl_repeats_by_itself);
+	g_test_add_func("/tgt/libcurl_retries_by_itself",
+			test_libcurl_retries_by_itself);
 	g_test_add_func("/tgt/never_written_twice", test_never_written_twice);
 	add_cases();
 	g_test_add_func("/tgt/late_trailing_bytes_are_discarded",
