--- a/src/gwy_answer.c
+++ b/src/gwy_answer.c
@@ -110,11 +110,11 @@
 void gwy_answer_refuse(struct gwy_request *req, int err, int64_t retry_after_us,
 		       int64_t now_us)
 {
-	const struct fs_answer *row = fs_answer_of(err);
+	const struct fs_answer *answer = fs_answer_of(err);
 	g_autofree char *name =
-		g_strdup_printf("gwy_refusals{err=%s}", row->name);
+		g_strdup_printf("gwy_refusals{err=%s}", answer->name);
 	char *body = g_strdup_printf("{\"error\":\"%s\",\"text\":\"%s\"}\n",
-				     row->name, row->text);
+				     answer->name, answer->text);
 	struct MHD_Response *response = MHD_create_response_from_buffer(
 		strlen(body), body, MHD_RESPMEM_MUST_FREE);
 
@@ -130,9 +130,9 @@
 	if (err == FS_E_BAD_REQUEST || err == FS_E_HEADERS_TOO_LARGE ||
 	    err == FS_E_BODY_TOO_LARGE || err == FS_E_CALLER_GONE)
 		add_field(response, "Connection", "close");
-	req->status = row->status;
-	end_request(req, row->name, now_us);
-	queue_answer(req, response, row->status);
+	req->status = answer->status;
+	end_request(req, answer->name, now_us);
+	queue_answer(req, response, answer->status);
 }
 
 /* Copies buffered bytes to MHD. A failed stream ends with an error: MHD closes
--- a/src/gwy_http.c
+++ b/src/gwy_http.c
@@ -61,19 +61,20 @@
 {
 	const char *text =
 		msg_headers_get(headers, req->gwy->fields.target.deadline_ms);
-	int64_t given_us = GWY_DEADLINE_DEFAULT_US;
-	int64_t limit_us = gwy_route_of(req)->deadline_us;
+	int64_t allowed_us = GWY_DEADLINE_DEFAULT_US;
+	int64_t route_limit_us = gwy_route_of(req)->deadline_us;
 	guint64 ms;
 
 	if (text &&
 	    g_ascii_string_to_unsigned(text, 10, 1, G_MAXINT32, &ms, NULL)) {
 		req->client_timeout_us = (int64_t)ms * FS_US_PER_MS;
-		given_us = MAX(req->client_timeout_us - GWY_DEADLINE_MARGIN_US,
-			       req->client_timeout_us / 2);
+		allowed_us =
+			MAX(req->client_timeout_us - GWY_DEADLINE_MARGIN_US,
+			    req->client_timeout_us / 2);
 	}
-	if (limit_us > 0)
-		given_us = MIN(given_us, limit_us);
-	req->deadline_us = req->started_us + given_us;
+	if (route_limit_us > 0)
+		allowed_us = MIN(allowed_us, route_limit_us);
+	req->deadline_us = req->started_us + allowed_us;
 }
 
 /* Route shares hold on average: each request draws a service by weight. */
--- a/src/gwy_overdue.c
+++ b/src/gwy_overdue.c
@@ -51,9 +51,10 @@
 	}
 }
 
-/* Returns whether an overdue answer will probably miss the deadline. */
-static bool is_unlikely_in_time(struct gwy_request *req,
-				const struct gwy_attempt *t, int64_t now_us)
+/* Returns whether an overdue answer will likely miss the deadline. */
+static bool will_likely_miss_deadline(struct gwy_request *req,
+				      const struct gwy_attempt *t,
+				      int64_t now_us)
 {
 	const struct bud_rule *rule = &req->gwy->budget_rule;
 
@@ -72,7 +73,7 @@
 	struct bal_choice choice;
 
 	if (!gwy_route_of(req)->repeatable || req->attempts_in_flight != 1 ||
-	    !t->overdue || !is_unlikely_in_time(req, t, now_us))
+	    !t->overdue || !will_likely_miss_deadline(req, t, now_us))
 		return false;
 	choice = gwy_choose(req, now_us);
 	return choice.target && !choice.wait_us &&
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -132,9 +132,9 @@
 	}
 }
 
-/* Returns why a request can't be sent now, or 0. */
-static int cannot_send(const struct gwy_request *req,
-		       const struct bal_choice *choice, int64_t now_us)
+/* Returns 0 if a request can be sent now, or the reason for a refusal. */
+static int check_send(const struct gwy_request *req,
+		      const struct bal_choice *choice, int64_t now_us)
 {
 	int64_t left_us = req->deadline_us - now_us;
 	struct adm_input n;
@@ -216,7 +216,7 @@
 	/* An attempt that reached no server costs no retry budget. */
 	if (!req->attempts_sent)
 		n.budget_milli = RTY_COST_MILLI;
-	err = cannot_send(req, &choice, now_us);
+	err = check_send(req, &choice, now_us);
 	if (err == FS_E_QUEUE_FULL || err == FS_E_WAIT_TOO_LONG)
 		n.usable = 1;
 	if (req->attempt_count == GWY_ATTEMPTS_MAX || !rty_allowed(&n) ||
@@ -235,7 +235,7 @@
 static void send_or_refuse(struct gwy_request *req, int64_t now_us)
 {
 	struct bal_choice choice = gwy_choose(req, now_us);
-	int err = cannot_send(req, &choice, now_us);
+	int err = check_send(req, &choice, now_us);
 
 	if (err) {
 		if (!park(req, &choice, err, now_us))
--- a/src/que.h
+++ b/src/que.h
@@ -52,7 +52,7 @@
 struct que_item *que_find_evictable(const struct que *que,
 				    enum cfg_priority priority);
 
-/** Returns how many items run before an arrival of @p priority. */
+/** Returns how many items precede an arrival of @p priority. */
 uint32_t que_count_ahead(const struct que *que, enum cfg_priority priority);
 
 #endif
--- a/src/rte.c
+++ b/src/rte.c
@@ -46,8 +46,8 @@
 
 struct route_match {
 	handle route;
-	int host;
-	size_t path;
+	int host_rank;
+	size_t path_size;
 };
 
 static void update_best(const struct cfg *cfg, handle i, const char *host,
@@ -59,8 +59,8 @@
 
 	if (!rank || !rte_path_match(route->path, path))
 		return;
-	if (best->route == FS_NONE || rank > best->host ||
-	    (rank == best->host && size > best->path))
+	if (best->route == FS_NONE || rank > best->host_rank ||
+	    (rank == best->host_rank && size > best->path_size))
 		*best = (struct route_match){i, rank, size};
 }
 
@@ -80,8 +80,8 @@
 		return FS_E_NO_ROUTE;
 	/* A longer prefix or an exact host wins even if it refuses the method:
 	 * the route with the shorter one has other rules. */
-	if (allowed.route == FS_NONE || allowed.host != any.host ||
-	    allowed.path != any.path) {
+	if (allowed.route == FS_NONE || allowed.host_rank != any.host_rank ||
+	    allowed.path_size != any.path_size) {
 		*route = FS_NONE;
 		return FS_E_METHOD;
 	}
--- a/src/tgt.h
+++ b/src/tgt.h
@@ -20,7 +20,7 @@
  *
  * With a dialect (see struct tgt_dialect) some of this differs.
  *
- * Limits: an answer's header fields as in TGT_HEADERS_MAX and
+ * Limits: an answer's header fields are limited by TGT_HEADERS_MAX and
  * TGT_HEADER_BYTES_MAX. A body is buffered up to FS_ANSWER_WHOLE_MAX; a longer
  * one is streamed, with at most FS_ANSWER_WINDOW bytes buffered here.
  */
@@ -60,7 +60,7 @@
 	 *         its deadline
 	 */
 	bool (*headers_overdue)(void *arg, struct tgt *tgt);
-	/** The end, called once; not after tgt_free(). */
+	/** Called once at the end; not after tgt_free(). */
 	void (*done)(void *arg, struct tgt *tgt,
 		     const struct tgt_result *result);
 };
--- a/src/tgt_request.c
+++ b/src/tgt_request.c
@@ -135,9 +135,9 @@
 	g_autofree char *url = g_strdup_printf("http://%s/", request->address);
 	int64_t left_us = MAX(request->deadline_us - now_us, 0);
 	const struct tgt_dialect *d = request->dialect;
-	char left[24];
+	char left_ms[24];
 
-	snprintf(left, sizeof(left), "%lld",
+	snprintf(left_ms, sizeof(left_ms), "%lld",
 		 (long long)(left_us / FS_US_PER_MS));
 	tgt->body = g_bytes_ref(m->body);
 	curl_easy_setopt(tgt->easy, CURLOPT_URL, url);
@@ -147,6 +147,7 @@
 		  m->host && *m->host ? m->host : request->address);
 	add_fields(tgt, m);
 	add_field(tgt, d ? d->request_id : "Fescuesaddle-Request", tgt->id);
-	add_field(tgt, d ? d->deadline_ms : "Fescuesaddle-Deadline-Ms", left);
+	add_field(tgt, d ? d->deadline_ms : "Fescuesaddle-Deadline-Ms",
+		  left_ms);
 	curl_easy_setopt(tgt->easy, CURLOPT_HTTPHEADER, tgt->fields);
 }
