--- a/src/gwy_answer.c
+++ b/src/gwy_answer.c
@@ -36,7 +36,7 @@
 			      struct MHD_Response *response, struct tgt *tgt)
 {
 	g_autoptr(GArray) headers = tgt_steal_headers(tgt);
-	g_autoptr(GArray) end_to_end = ent_end_to_end(headers);
+	g_autoptr(GArray) end_to_end = ent_check_copy_end_to_end(headers);
 
 	if (tgt_status(tgt) < 300 &&
 	    !msg_headers_get(end_to_end, req->gwy->fields.target.response_seal))
