--- a/src/gwy_http.c
+++ b/src/gwy_http.c
@@ -4,8 +4,9 @@
 #include "gwy_impl.h"
 #include "rte.h"
 
-#define REQUEST_ID_MAX \
-	128 /* bytes of a caller's request id that are forwarded */
+/* Longest request id of a caller that is forwarded, in bytes; a longer one is
+ * replaced. */
+#define REQUEST_ID_MAX 128
 
 /* Connections are closed this much after the advertised idle time-out. */
 #define IDLE_MARGIN_S 1
@@ -27,12 +28,12 @@
 /* Drops hop-by-hop fields and fields that the fleet sets itself. */
 static GArray *forwarded_headers(const struct gwy *gwy, const GArray *headers)
 {
-	g_autoptr(GArray) kept = ent_check_copy_end_to_end(headers);
+	g_autoptr(GArray) end_to_end = ent_check_copy_end_to_end(headers);
 	GArray *out = msg_headers_new();
 
-	for (guint i = 0; i < kept->len; i++) {
+	for (guint i = 0; i < end_to_end->len; i++) {
 		const struct msg_header *h =
-			&g_array_index(kept, struct msg_header, i);
+			&g_array_index(end_to_end, struct msg_header, i);
 
 		if (!is_fleet_field(&gwy->fields, h->name))
 			msg_headers_add(out, h->name, h->value);
@@ -53,26 +54,27 @@
 			"%" G_GINT64_MODIFIER "x-%" G_GINT64_MODIFIER
 			"x-%" G_GINT64_MODIFIER "x",
 			gwy->node->self, gwy->node->incarnation,
-			++gwy->counter);
+			++gwy->id_counter);
 }
 
 static void set_deadline(struct gwy_request *req, const GArray *headers)
 {
 	const char *text =
 		msg_headers_get(headers, req->gwy->fields.target.deadline_ms);
-	int64_t given_us = GWY_DEADLINE_DEFAULT_US;
-	int64_t limit_us = gwy_route_of(req)->deadline_us;
+	int64_t allowed_us = GWY_DEADLINE_DEFAULT_US;
+	int64_t route_limit_us = gwy_route_of(req)->deadline_us;
 	guint64 ms;
 
 	if (text &&
 	    g_ascii_string_to_unsigned(text, 10, 1, G_MAXINT32, &ms, NULL)) {
 		req->client_timeout_us = (int64_t)ms * FS_US_PER_MS;
-		given_us = MAX(req->client_timeout_us - GWY_DEADLINE_MARGIN_US,
-			       req->client_timeout_us / 2);
+		allowed_us =
+			MAX(req->client_timeout_us - GWY_DEADLINE_MARGIN_US,
+			    req->client_timeout_us / 2);
 	}
-	if (limit_us > 0)
-		given_us = MIN(given_us, limit_us);
-	req->deadline_us = req->started_us + given_us;
+	if (route_limit_us > 0)
+		allowed_us = MIN(allowed_us, route_limit_us);
+	req->deadline_us = req->started_us + allowed_us;
 }
 
 /* Route shares hold on average: each request draws a service by weight. */
@@ -124,7 +126,7 @@
 				IDLE_MARGIN_S);
 }
 
-/* Checks that need no configuration. */
+/* Does the checks that need no configuration. */
 static int validate(struct gwy_request *req, const char *version)
 {
 	struct msg_request *request = &req->m->request;
@@ -142,7 +144,7 @@
 	return 0;
 }
 
-/* Finds the route; the request keeps the current configuration to its end. */
+/* Finds the route. The request uses the current configuration until it ends. */
 static int resolve_route(struct gwy_request *req)
 {
 	struct msg_request *request = &req->m->request;
@@ -166,14 +168,14 @@
 	return gwy->cfg && gwy->node->ready;
 }
 
-/* Checks everything that can be refused before the body is read. */
-static void begin(struct gwy_request *req, const char *method,
-		  const char *version)
+/* Does all checks that are possible before the body is read. */
+static void check_headers(struct gwy_request *req, const char *method,
+			  const char *version)
 {
 	struct msg_request *request;
 	int err;
 
-	req->begun = true;
+	req->headers_received = true;
 	req->m = msg_new(MSG_REQUEST, req->gwy->node->self, MSG_TASK_ENTRY);
 	request = &req->m->request;
 	request->method = g_strdup(method);
@@ -218,7 +220,7 @@
 			  now_us);
 }
 
-/* The request is complete. */
+/* Starts the first attempt of a completely received request. */
 static void dispatch(struct gwy_request *req, int64_t now_us)
 {
 	if (!req->err && !req->cfg) {
@@ -243,7 +245,7 @@
 	dispatch(req, now_us);
 }
 
-static enum MHD_Result queue(struct gwy_request *req)
+static enum MHD_Result queue_response(struct gwy_request *req)
 {
 	return MHD_queue_response(req->connection, req->status, req->response);
 }
@@ -260,9 +262,9 @@
 	(void)arg;
 	(void)connection;
 	(void)url;
-	if (!req->begun) {
-		begin(req, method, version);
-		return req->response ? queue(req) : MHD_YES;
+	if (!req->headers_received) {
+		check_headers(req, method, version);
+		return req->response ? queue_response(req) : MHD_YES;
 	}
 	if (*upload_size) {
 		append_body(req, upload_data, *upload_size);
@@ -272,7 +274,7 @@
 	if (req->state == GWY_READING)
 		dispatch(req, fs_now_us());
 	if (req->response)
-		return queue(req);
+		return queue_response(req);
 	gwy_request_suspend(req);
 	return MHD_YES;
 }
@@ -287,7 +289,8 @@
 	if (!req)
 		return;
 	*context = NULL;
-	if (code != MHD_REQUEST_TERMINATED_COMPLETED_OK && req->begun)
+	if (code != MHD_REQUEST_TERMINATED_COMPLETED_OK &&
+	    req->headers_received)
 		gwy_request_log(req, fs_err_name(FS_E_CALLER_GONE),
 				fs_now_us());
 	gwy_request_free(req);
--- a/src/gwy_send.c
+++ b/src/gwy_send.c
@@ -2,10 +2,11 @@
 
 #include "rty.h"
 
-/* Interval at which a parked request looks for a target with capacity. */
+/* Interval at which a parked request checks for a target with capacity. */
 #define PARK_POLL_US (50 * FS_US_PER_MS)
 
-/* Jitter of Retry-After, so that refused callers do not return at once. */
+/* Jitter of Retry-After, so that refused callers do not return at the same
+ * time. */
 #define RETRY_AFTER_JITTER_US (400 * FS_US_PER_MS)
 
 static struct adm_input admission_input(const struct gwy_request *req,
@@ -61,18 +62,18 @@
 static void set_timer(struct gwy_request *req, int64_t now_us)
 {
 	int64_t at_us = req->deadline_us;
-	int64_t late_us = gwy_overdue_us(req);
-	int64_t last_us = gwy_overdue_hedge_latest_us(req);
+	int64_t overdue_us = gwy_overdue_us(req);
+	int64_t hedge_us = gwy_overdue_hedge_latest_us(req);
 
-	if (now_us < last_us)
-		at_us = MIN(at_us, last_us);
+	if (now_us < hedge_us)
+		at_us = MIN(at_us, hedge_us);
 
 	for (uint32_t i = 0; i < req->attempt_count; i++) {
 		const struct gwy_attempt *t = &req->attempts[i];
 
 		if (t->in_flight && !t->overdue)
 			at_us = MIN(at_us,
-				    t->started_us + t->wait_us + late_us);
+				    t->started_us + t->wait_us + overdue_us);
 	}
 	gwy_request_timer(req, at_us, now_us);
 }
@@ -131,9 +132,9 @@
 	}
 }
 
-/* Returns why a request can't be sent now, or 0. */
-static int cannot_send(const struct gwy_request *req,
-		       const struct bal_choice *choice, int64_t now_us)
+/* Returns 0 if a request can be sent now, or the reason for a refusal. */
+static int check_send(const struct gwy_request *req,
+		      const struct bal_choice *choice, int64_t now_us)
 {
 	int64_t left_us = req->deadline_us - now_us;
 	struct adm_input n;
@@ -183,14 +184,14 @@
 static double budget_left(struct gwy_request *req, int64_t now_us)
 {
 	struct gwy *gwy = req->gwy;
-	double own = bud_retries_left(budget_of(req), &gwy->budget_rule,
-				      gwy->members_alive, now_us);
-	double pool = lod_retry_budget_left(gwy->lod, gwy_service_name(req),
-					    &gwy->budget_rule, now_us);
+	double own_left = bud_retries_left(budget_of(req), &gwy->budget_rule,
+					   gwy->members_alive, now_us);
+	double fleet_left = lod_retry_budget_left(
+		gwy->lod, gwy_service_name(req), &gwy->budget_rule, now_us);
 	double recent =
 		bud_recent_retries(budget_of(req), &gwy->budget_rule, now_us);
 
-	return MAX(own, pool / gwy->members_alive - recent);
+	return MAX(own_left, fleet_left / gwy->members_alive - recent);
 }
 
 bool gwy_send_retry(struct gwy_request *req, int64_t now_us)
@@ -215,7 +216,7 @@
 	/* An attempt that reached no server costs no retry budget. */
 	if (!req->attempts_sent)
 		n.budget_milli = RTY_COST_MILLI;
-	err = cannot_send(req, &choice, now_us);
+	err = check_send(req, &choice, now_us);
 	if (err == FS_E_QUEUE_FULL || err == FS_E_WAIT_TOO_LONG)
 		n.usable = 1;
 	if (req->attempt_count == GWY_ATTEMPTS_MAX || !rty_allowed(&n) ||
@@ -234,7 +235,7 @@
 static void send_or_refuse(struct gwy_request *req, int64_t now_us)
 {
 	struct bal_choice choice = gwy_choose(req, now_us);
-	int err = cannot_send(req, &choice, now_us);
+	int err = check_send(req, &choice, now_us);
 
 	if (err) {
 		if (!park(req, &choice, err, now_us))
@@ -286,10 +287,10 @@
 }
 
 static bool is_not_run(const struct gwy_attempt *t,
-		       const struct tgt_result *end, const GArray *headers)
+		       const struct tgt_result *result, const GArray *headers)
 {
-	if (end->err)
-		return !end->written;
+	if (result->err)
+		return !result->written;
 	return t->status == 421 ||
 	       msg_headers_get(headers, t->req->gwy->fields.not_run);
 }
@@ -324,7 +325,7 @@
 		now_us);
 }
 
-/* Other answers are forwarded only if no retry is possible. */
+/* An answer that is no success is forwarded only if no retry is possible. */
 static bool is_success(const struct gwy_attempt *t)
 {
 	return !t->err && !t->not_run && t->status < 500;
@@ -343,22 +344,22 @@
 	gwy_request_resume(req);
 }
 
-static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *end)
+static void on_done(void *arg, struct tgt *tgt, const struct tgt_result *result)
 {
 	struct gwy_attempt *t = arg;
 	struct gwy_request *req = t->req;
 	int64_t now_us = fs_now_us();
-	bool streaming = req->stream == t;
+	bool streaming = req->stream_attempt == t;
 	g_autoptr(GArray) headers = NULL;
 
-	t->err = end->err;
-	t->status = end->err ? 0 : tgt_status(tgt);
-	t->took_us = end->took_us;
+	t->err = result->err;
+	t->status = result->err ? 0 : tgt_status(tgt);
+	t->took_us = result->took_us;
 	if (!streaming)
 		headers = tgt_peek_headers(tgt);
-	t->not_run = !streaming && is_not_run(t, end, headers);
+	t->not_run = !streaming && is_not_run(t, result, headers);
 	/* Nothing was written: the server has not seen this attempt. */
-	if (end->err && !end->written)
+	if (result->err && !result->written)
 		req->attempts_sent--;
 	else if (!t->not_run)
 		req->may_have_run = true;
@@ -382,7 +383,7 @@
 }
 
 /* The body is too long to be buffered: it is forwarded as it arrives. */
-static void on_begun(void *arg, struct tgt *tgt)
+static void on_stream_started(void *arg, struct tgt *tgt)
 {
 	struct gwy_attempt *t = arg;
 	struct gwy_request *req = t->req;
@@ -400,7 +401,7 @@
 	for (uint32_t i = 0; i < req->attempt_count; i++) {
 		struct gwy_attempt *t = &req->attempts[i];
 
-		if (t == req->stream || !t->in_flight)
+		if (t == req->stream_attempt || !t->in_flight)
 			continue;
 		tgt_free(t->tgt);
 		t->tgt = NULL;
@@ -409,12 +410,12 @@
 	}
 }
 
-static void on_more(void *arg, struct tgt *tgt)
+static void on_body_available(void *arg, struct tgt *tgt)
 {
 	const struct gwy_attempt *t = arg;
 
 	(void)tgt;
-	if (t->req->stream == t)
+	if (t->req->stream_attempt == t)
 		gwy_request_resume(t->req);
 }
 
@@ -426,8 +427,8 @@
 }
 
 static const struct tgt_ops attempt_ops = {
-	.begun = on_begun,
-	.more = on_more,
+	.stream_started = on_stream_started,
+	.body_available = on_body_available,
 	.headers_overdue = on_headers_overdue,
 	.done = on_done,
 };
--- a/src/rte.c
+++ b/src/rte.c
@@ -44,14 +44,14 @@
 		       0;
 }
 
-struct best {
+struct route_match {
 	handle route;
-	int host;
-	size_t path;
+	int host_rank;
+	size_t path_size;
 };
 
 static void update_best(const struct cfg *cfg, handle i, const char *host,
-			const char *path, struct best *best)
+			const char *path, struct route_match *best)
 {
 	const struct cfg_route *route = &cfg->routes[i];
 	int rank = host_rank(route->host, host);
@@ -59,16 +59,16 @@
 
 	if (!rank || !rte_path_match(route->path, path))
 		return;
-	if (best->route == FS_NONE || rank > best->host ||
-	    (rank == best->host && size > best->path))
-		*best = (struct best){i, rank, size};
+	if (best->route == FS_NONE || rank > best->host_rank ||
+	    (rank == best->host_rank && size > best->path_size))
+		*best = (struct route_match){i, rank, size};
 }
 
 int rte_find(const struct cfg *cfg, const char *host, const char *path,
 	     uint32_t method, handle *route)
 {
-	struct best any = {.route = FS_NONE};
-	struct best allowed = {.route = FS_NONE};
+	struct route_match any = {.route = FS_NONE};
+	struct route_match allowed = {.route = FS_NONE};
 
 	for (handle i = 0; i < cfg->route_count; i++) {
 		update_best(cfg, i, host, path, &any);
@@ -78,10 +78,10 @@
 	*route = allowed.route;
 	if (any.route == FS_NONE)
 		return FS_E_NO_ROUTE;
-	/* A longer prefix or an exact host matches even if it refuses the method:
-	 * the shorter one has other rules. */
-	if (allowed.route == FS_NONE || allowed.host != any.host ||
-	    allowed.path != any.path) {
+	/* A longer prefix or an exact host wins even if it refuses the method:
+	 * the route with the shorter one has other rules. */
+	if (allowed.route == FS_NONE || allowed.host_rank != any.host_rank ||
+	    allowed.path_size != any.path_size) {
 		*route = FS_NONE;
 		return FS_E_METHOD;
 	}
--- a/src/tgt.h
+++ b/src/tgt.h
@@ -20,7 +20,7 @@
  *
  * With a dialect (see struct tgt_dialect) some of this differs.
  *
- * Limits: an answer's header fields as in TGT_HEADERS_MAX and
+ * Limits: an answer's header fields are limited by TGT_HEADERS_MAX and
  * TGT_HEADER_BYTES_MAX. A body is buffered up to FS_ANSWER_WHOLE_MAX; a longer
  * one is streamed, with at most FS_ANSWER_WINDOW bytes buffered here.
  */
@@ -39,7 +39,7 @@
 
 /** How an exchange ended. */
 struct tgt_result {
-	int err;      /* 0: a whole answer; FS_E_CONNECT, FS_E_DEADLINE,
+	int err;      /* 0: a complete answer; FS_E_CONNECT, FS_E_DEADLINE,
 			  * FS_E_TARGET_RESET, FS_E_TRUNCATED or
 			  * FS_E_ANSWER_INVALID */
 	bool written; /* a byte of the request may have reached the target */
@@ -51,29 +51,33 @@
 /** Callbacks to the owner of an exchange; never called inside tgt_start(). */
 struct tgt_ops {
 	/** The body is too long to be buffered: its first part can be read. */
-	void (*begun)(void *arg, struct tgt *tgt);
-	/** After begun(): more bytes can be read. */
-	void (*more)(void *arg, struct tgt *tgt);
-	/** The header fields did not arrive in time. @return whether to abort
-	 *  the exchange; otherwise it continues until its deadline */
+	void (*stream_started)(void *arg, struct tgt *tgt);
+	/** After stream_started(): more bytes can be read. */
+	void (*body_available)(void *arg, struct tgt *tgt);
+	/**
+	 * The header fields did not arrive in time.
+	 * @return whether to abort the exchange; otherwise it continues until
+	 *         its deadline
+	 */
 	bool (*headers_overdue)(void *arg, struct tgt *tgt);
-	/** The end, called once; not after tgt_free(). */
-	void (*done)(void *arg, struct tgt *tgt, const struct tgt_result *end);
+	/** Called once at the end; not after tgt_free(). */
+	void (*done)(void *arg, struct tgt *tgt,
+		     const struct tgt_result *result);
 };
 
 /**
  * Differences of a platform's targets from the fleet's own interface.
- * They identify an answer by the caller's request id and mark a success with a
- * proof field, may end a body with its connection, and may send bytes behind a
+ * They identify an answer by the caller's request id, mark a success with a
+ * seal, may end a body with its connection, and may send bytes behind a
  * complete answer; a connection with such bytes is not reused.
  */
 struct tgt_dialect {
 	const char *request_id;	 /* header field, echoed by the target */
-	const char *deadline_ms; /* header field: what is left, in ms */
-	const char *proof;	 /* header field that only a target's own
-				  * success has */
-	long idle_s;		 /* idle time-out of pooled connections */
-	int64_t connect_us;	 /* longest time to connect */
+	const char *deadline_ms; /* header field: time left, in ms */
+	/** Header field that only a target's own success has. */
+	const char *response_seal;
+	long idle_s;	    /* idle time-out of pooled connections */
+	int64_t connect_us; /* longest time to connect */
 };
 
 /** Parameters of an exchange; all of them are copied or referenced. */
@@ -91,8 +95,10 @@
 /** Returns whether a request can be written unchanged: no control bytes. */
 bool tgt_request_valid(const struct msg_request *m);
 
-/** Starts an exchange.
- * @return NULL if libcurl can't add the transfer; nothing was written then */
+/**
+ * Starts an exchange.
+ * @return NULL if libcurl can't add the transfer; nothing was written then
+ */
 struct tgt *tgt_start(struct tgt_pool *pool, const struct tgt_request *request,
 		      const struct tgt_ops *ops, void *arg, int64_t now_us);
 
@@ -112,17 +118,19 @@
 /** Returns the status of the answer. */
 uint32_t tgt_status(const struct tgt *tgt);
 
-/** Returns the header fields with a new reference; they stay the answer's. */
+/** Returns a new reference to the header fields. */
 GArray *tgt_peek_headers(struct tgt *tgt);
 
-/** Returns the header fields without hop-by-hop ones and clears them. */
+/** Moves the header fields, without hop-by-hop ones, to the caller. */
 GArray *tgt_steal_headers(struct tgt *tgt);
 
-/** Returns whether the answer says that the target is leaving. */
+/** Returns whether the answer states that the target is draining. */
 bool tgt_draining(const struct tgt *tgt);
 
-/** Returns the length of the complete body, or -1 if unknown; of an answer to
- *  HEAD, that of the body which is not sent. */
+/**
+ * Returns the length of the complete body, or -1 if unknown; for an answer to
+ * HEAD, that of the body which is not sent.
+ */
 int64_t tgt_length(const struct tgt *tgt);
 
 /** Reads and removes up to @p max bytes of the buffered body. */
--- a/tests/unit_gwy.c
+++ b/tests/unit_gwy.c
@@ -110,7 +110,7 @@
 static void test_buffered_answer(void)
 {
 	const struct fake_request *r;
-	g_autofree char *left = NULL;
+	g_autofree char *left_ms = NULL;
 	g_autofree char *instance = NULL;
 	struct fake *target;
 
@@ -125,9 +125,9 @@
 	g_assert_cmpuint(r->body_size, ==, 3);
 	instance = yard_field(r, "X-For");
 	g_assert_cmpstr(instance, ==, "s0");
-	left = yard_field(r, "X-Left");
-	g_assert_cmpint(atoi(left), <=, YARD_TIMEOUT_MS);
-	g_assert_cmpint(atoi(left), >, YARD_TIMEOUT_MS - 300);
+	left_ms = yard_field(r, "X-Left");
+	g_assert_cmpint(atoi(left_ms), <=, YARD_TIMEOUT_MS);
+	g_assert_cmpint(atoi(left_ms), >, YARD_TIMEOUT_MS - 300);
 	end();
 }
 
@@ -160,7 +160,7 @@
 	end();
 }
 
-static void test_failure_is_passed_on_if_unsafe(void)
+static void test_failure_is_forwarded_if_unsafe(void)
 {
 	int failed = 0;
 
@@ -238,16 +238,17 @@
 	end();
 }
 
+/* The request is refused when the route's time limit expires, not later. */
 static void test_route_deadline(void)
 {
-	int64_t start_us;
+	int64_t started_us;
 
 	begin();
 	yard_target(&y, "pay", serve_nothing, NULL);
-	start_us = fs_now_us();
+	started_us = fs_now_us();
 	yard_call(&y, &c, PAY_REQUEST);
 	yard_expect(&y, &c, 504);
-	g_assert_cmpint(fs_now_us() - start_us, <,
+	g_assert_cmpint(fs_now_us() - started_us, <,
 			(YARD_TIMEOUT_MS + 250) * FS_US_PER_MS);
 	end();
 }
@@ -382,7 +383,7 @@
 
 static struct fake_conn *flooded_conn;
 
-/* Begins an answer that the test goes on with. */
+/* Starts an answer that the test continues. */
 static void serve_partial(void *arg, struct fake_conn *conn,
 			  const struct fake_request *request)
 {
@@ -391,7 +392,7 @@
 	fake_send_text(conn, arg);
 }
 
-/* Sends a piece again and again until the gateway closes the connection. */
+/* Sends a piece repeatedly until the gateway closes the connection. */
 static void flood(const struct fake *target, const char *piece,
 		  int64_t limit_us)
 {
@@ -419,7 +420,7 @@
 	end();
 }
 
-/* One header line without end. */
+/* The same limit applies to a single endless header line. */
 static void test_endless_header_line_is_rejected(void)
 {
 	g_autofree char *piece = g_strnfill(16 * 1024, 'x');
@@ -495,8 +496,8 @@
 			test_waiting_does_not_spin);
 	g_test_add_func("/gwy/failure_is_retried_if_safe",
 			test_failure_is_retried_if_safe);
-	g_test_add_func("/gwy/failure_is_passed_on_if_unsafe",
-			test_failure_is_passed_on_if_unsafe);
+	g_test_add_func("/gwy/failure_is_forwarded_if_unsafe",
+			test_failure_is_forwarded_if_unsafe);
 	g_test_add_func("/gwy/not_run_is_retried", test_not_run_is_retried);
 	g_test_add_func("/gwy/reset_may_have_run", test_reset_may_have_run);
 	g_test_add_func("/gwy/unreachable_is_not_run",
