--- a/src/cnf.c
+++ b/src/cnf.c
@@ -4,11 +4,11 @@
 void cnf_call_end(struct cnf *cnf, struct cnf_call *call, bool ok,
 		  int64_t pause_us, int64_t now_us)
 {
-	int64_t delay_us = CNF_RETRY_MIN_US << MIN(call->failed, 8);
+	int64_t delay_us = CNF_RETRY_MIN_US << MIN(call->failures, 8);
 
 	call->running = false;
 	call->answered = call->answered || ok;
-	call->failed = ok ? 0 : call->failed + 1;
+	call->failures = ok ? 0 : call->failures + 1;
 	if (ok) {
 		call->next_us = now_us + pause_us;
 		return;
@@ -32,14 +32,14 @@
 	aud_emit(cnf->node->aud, &rec);
 }
 
-static void put_in_force(struct cnf *cnf, int64_t now_us)
+static void activate(struct cnf *cnf, int64_t now_us)
 {
 	struct cfg *cfg = cnf->store.cfg;
 
 	shd_map_free(cnf->map);
 	cnf->map = shd_map_new(cfg);
-	cnf->taken_us = now_us;
-	cnf->tell_now = true;
+	cnf->in_force_since_us = now_us;
+	cnf->broadcast_due = true;
 	fs_log_eventf("cnf", G_LOG_LEVEL_MESSAGE, "config",
 		      "\"version\":%" G_GUINT64_FORMAT, cfg->version);
 	bus_send_all(cnf->node->bus, MSG_CONFIG, cfg);
@@ -53,12 +53,12 @@
 	enum aud_rule rule;
 
 	/* What is in force already comes again and again; no decision. */
-	if (version == known || version == cnf->store.refused)
+	if (version == known || version == cnf->store.rejected_version)
 		return;
 	rule = cnf_store_offer(&cnf->store, version, text, &problems);
 	audit(cnf, rule, version, known, problems, now_us);
 	if (rule == AUD_R_CONFIG_TAKEN)
-		put_in_force(cnf, now_us);
+		activate(cnf, now_us);
 	else if (rule == AUD_R_CONFIG_BAD)
 		fs_log_eventf("cnf", G_LOG_LEVEL_WARNING, "config_refused",
 			      "\"version\":%" G_GUINT64_FORMAT, version);
@@ -74,8 +74,8 @@
 	if (cnf->node->ready || !cnf->store.cfg)
 		return;
 	newest = cnf_peers_newest(cnf, &id);
-	if (cnf_store_wants(&cnf->store, newest) &&
-	    now_us - cnf->started_us < CNF_READY_WAIT_US)
+	if (cnf_store_should_fetch(&cnf->store, newest) &&
+	    now_us - cnf->started_us < CNF_READY_TIMEOUT_US)
 		return;
 	cnf->node->ready = true;
 	fs_log_eventf("node", G_LOG_LEVEL_MESSAGE, "ready",
@@ -92,15 +92,15 @@
 	(void)events;
 	cnf_platform_tick(cnf, now_us);
 	cnf_peers_tick(cnf, now_us);
-	cnf_tell_tick(cnf, now_us);
+	cnf_broadcast_tick(cnf, now_us);
 	ready_tick(cnf, now_us);
 }
 
-static void take_view(struct cnf *cnf, struct mem_view *view)
+static void set_view(struct cnf *cnf, struct mem_view *view)
 {
 	mem_view_unref(cnf->view);
 	cnf->view = mem_view_ref(view);
-	cnf->tell_now = true;
+	cnf->broadcast_due = true;
 }
 
 static void receive(void *task, struct msg *m, int64_t now_us)
@@ -109,22 +109,22 @@
 
 	switch (m->type) {
 	case MSG_VIEW:
-		take_view(cnf, m->view.view);
+		set_view(cnf, m->view.view);
 		break;
 	case MSG_CONFIG_HINT:
 		cnf_peers_hint(cnf, m->config_hint.node, m->config_hint.version,
 			       now_us);
 		break;
 	case MSG_CONFIG_ASK:
-		cnf_peers_asked(cnf, m);
+		cnf_peers_answer_request(cnf, m);
 		break;
 	case MSG_CONFIG_TEXT:
-		cnf->asked = 0;
+		cnf->requested_from = 0;
 		cnf_offer(cnf, m->config_text.version, m->config_text.text,
 			  now_us);
 		break;
 	case MSG_TARGETS_LEAVING:
-		cnf_tell_receive(cnf, m, now_us);
+		cnf_broadcast_receive(cnf, m, now_us);
 		break;
 	default:
 		break;
@@ -147,7 +147,7 @@
 			       "\"problem\":",
 			       cnf_store_version(&cnf->store),
 			       cnf->watcher ? "true" : "false",
-			       cnf->read.failed ? "away" : "found");
+			       cnf->read.failures ? "away" : "found");
 	if (cnf->store.problem)
 		fs_json_string(out, cnf->store.problem);
 	else
@@ -162,9 +162,9 @@
 	cnf->node = node;
 	cnf->random = node->self ^ node->incarnation;
 	cnf->started_us = fs_now_us();
-	cnf->listed = g_array_new(FALSE, TRUE, sizeof(struct plt_vm));
-	cnf->told = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					  NULL);
+	cnf->leaving_vms = g_array_new(FALSE, TRUE, sizeof(struct plt_vm));
+	cnf->notified = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+					      g_free, NULL);
 	cnf->leaving = cnf_leaving_new();
 	bus_attach(node->bus, MSG_TASK_CONFIG, &ops, cnf);
 	node_add_status(node, "config", write_status, cnf);
@@ -183,8 +183,8 @@
 	cnf_store_clear(&cnf->store);
 	mem_view_unref(cnf->view);
 	shd_map_free(cnf->map);
-	g_array_unref(cnf->listed);
-	g_hash_table_unref(cnf->told);
+	g_array_unref(cnf->leaving_vms);
+	g_hash_table_unref(cnf->notified);
 	cnf_leaving_free(cnf->leaving);
 	g_free(cnf);
 }
--- a/src/cnf_leaving.c
+++ b/src/cnf_leaving.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define RANKS_TOLD 2 /* the dispatcher and its second choice */
+#define RECEIVER_RANKS 2 /* the dispatcher and its second choice */
 
 /** The list of one poller. */
 struct poller {
@@ -55,8 +55,8 @@
 	return poller;
 }
 
-void cnf_leaving_told(struct cnf_leaving *leaving, node_id poller_id,
-		      const GPtrArray *servers, int64_t now_us)
+void cnf_leaving_update(struct cnf_leaving *leaving, node_id poller_id,
+			const GPtrArray *servers, int64_t now_us)
 {
 	struct poller *poller = find_poller(leaving, poller_id);
 
@@ -68,7 +68,7 @@
 }
 
 /* Drops lists that are older than the newest one by more than the lapse. */
-static void drop_lapsed(struct cnf_leaving *leaving, int64_t now_us)
+static void drop_expired(struct cnf_leaving *leaving, int64_t now_us)
 {
 	int64_t newest_us = 0;
 
@@ -83,7 +83,7 @@
 		const struct poller *poller =
 			g_ptr_array_index(leaving->pollers, i - 1);
 
-		if (newest_us - poller->last_rx_us > CNF_LIST_LAPSE_US)
+		if (newest_us - poller->last_rx_us > CNF_LIST_EXPIRY_US)
 			g_ptr_array_remove_index(leaving->pollers, i - 1);
 	}
 }
@@ -97,7 +97,7 @@
 {
 	GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
 
-	drop_lapsed(leaving, now_us);
+	drop_expired(leaving, now_us);
 	for (guint i = 0; i < leaving->pollers->len; i++) {
 		const struct poller *poller =
 			g_ptr_array_index(leaving->pollers, i);
@@ -187,7 +187,8 @@
 		const struct shd_shard *shard =
 			server == FS_NONE ? NULL : shard_of(map, cfg, server);
 
-		for (uint32_t rank = 0; shard && rank < RANKS_TOLD; rank++) {
+		for (uint32_t rank = 0; shard && rank < RECEIVER_RANKS;
+		     rank++) {
 			node_id id = shd_owner(shard, view, rank);
 
 			if (id)
--- a/src/cnf_peers.c
+++ b/src/cnf_peers.c
@@ -17,25 +17,27 @@
 	return newest;
 }
 
-static void ask(struct cnf *cnf, node_id id, uint64_t version, int64_t now_us)
+static void request_config(struct cnf *cnf, node_id id, uint64_t version,
+			   int64_t now_us)
 {
 	struct msg *m = msg_new(MSG_CONFIG_ASK, id, MSG_TASK_CONFIG);
 
 	m->config_ask.known = cnf_store_version(&cnf->store);
-	cnf->asked = id;
-	cnf->asked_version = version;
-	cnf->asked_us = now_us;
+	cnf->requested_from = id;
+	cnf->requested_version = version;
+	cnf->requested_us = now_us;
 	bus_send(cnf->node->bus, m);
 }
 
 void cnf_peers_hint(struct cnf *cnf, node_id id, uint64_t version,
 		    int64_t now_us)
 {
-	bool waiting = cnf->asked && cnf->asked_version >= version &&
-		       now_us - cnf->asked_us < CNF_ASK_US;
+	bool waiting = cnf->requested_from &&
+		       cnf->requested_version >= version &&
+		       now_us - cnf->requested_us < CNF_REQUEST_TIMEOUT_US;
 
-	if (cnf_store_wants(&cnf->store, version) && !waiting)
-		ask(cnf, id, version, now_us);
+	if (cnf_store_should_fetch(&cnf->store, version) && !waiting)
+		request_config(cnf, id, version, now_us);
 }
 
 void cnf_peers_tick(struct cnf *cnf, int64_t now_us)
@@ -43,16 +45,17 @@
 	node_id id;
 	uint64_t newest;
 
-	if (cnf->asked && now_us - cnf->asked_us < CNF_ASK_US)
+	if (cnf->requested_from &&
+	    now_us - cnf->requested_us < CNF_REQUEST_TIMEOUT_US)
 		return;
 	newest = cnf_peers_newest(cnf, &id);
-	if (id && id != cnf->asked)
+	if (id && id != cnf->requested_from)
 		cnf_peers_hint(cnf, id, newest, now_us);
 	else
-		cnf->asked = 0;
+		cnf->requested_from = 0;
 }
 
-void cnf_peers_asked(struct cnf *cnf, const struct msg *m)
+void cnf_peers_answer_request(struct cnf *cnf, const struct msg *m)
 {
 	const struct cfg *cfg = cnf->store.cfg;
 	struct msg *answer;
--- a/src/cnf_platform.c
+++ b/src/cnf_platform.c
@@ -5,26 +5,26 @@
 
 bool cnf_is_watcher(const struct cnf *cnf)
 {
-	struct shd_shard place = {.region = cnf->node->set.region};
+	struct shd_shard key_shard = {.region = cnf->node->set.region};
 
 	if (!cnf->view)
 		return false;
-	place.hash = XXH64(CNF_KEY, sizeof(CNF_KEY) - 1, 0);
+	key_shard.hash = XXH64(CNF_KEY, sizeof(CNF_KEY) - 1, 0);
 	for (uint32_t rank = 0; rank < FS_CONFIG_WATCHERS; rank++)
-		if (shd_owner(&place, cnf->view, rank) == cnf->node->self)
+		if (shd_owner(&key_shard, cnf->view, rank) == cnf->node->self)
 			return true;
 	return false;
 }
 
-static void log_outage(const struct cnf *cnf, const struct cnf_call *call,
-		       int err)
+static void log_availability(const struct cnf *cnf, const struct cnf_call *call,
+			     int err)
 {
-	if (call->failed == 0 && err)
+	if (call->failures == 0 && err)
 		fs_log_eventf("cnf", G_LOG_LEVEL_WARNING, "platform_lost",
 			      "\"call\":\"%s\",\"error\":\"%s\"",
 			      call == &cnf->vms ? "vms" : "config",
 			      fs_err_name(err));
-	if (call->failed && !err)
+	if (call->failures && !err)
 		fs_log_eventf("cnf", G_LOG_LEVEL_MESSAGE, "platform_found",
 			      "\"call\":\"%s\"",
 			      call == &cnf->vms ? "vms" : "config");
@@ -38,7 +38,7 @@
 
 	if (err == FS_E_NOT_FOUND)
 		err = 0;
-	log_outage(cnf, &cnf->read, err);
+	log_availability(cnf, &cnf->read, err);
 	cnf_call_end(cnf, &cnf->read, !err, 0, now_us);
 	if (err || !value->data)
 		return;
@@ -55,10 +55,10 @@
 {
 	struct cnf *cnf = arg;
 
-	log_outage(cnf, &cnf->vms, err);
+	log_availability(cnf, &cnf->vms, err);
 	cnf_call_end(cnf, &cnf->vms, !err, FS_VMS_POLL_US, fs_now_us());
 	if (!err)
-		cnf_tell_listed(cnf, vms, count);
+		cnf_broadcast_set_vms(cnf, vms, count);
 }
 
 /* Watchers wait for changes; any other node reads once at its start. */
@@ -78,7 +78,7 @@
 		plt_get(cnf->node->platform, CNF_KEY, on_value, cnf);
 }
 
-static bool knows_peer(const struct cnf *cnf)
+static bool has_live_peer(const struct cnf *cnf)
 {
 	for (uint32_t i = 0; cnf->view && i < cnf->view->count; i++)
 		if (cnf->view->members[i].id != cnf->node->self &&
@@ -91,7 +91,7 @@
 {
 	struct cnf_call *call = &cnf->vms;
 
-	if ((!cnf->watcher && knows_peer(cnf)) || call->running ||
+	if ((!cnf->watcher && has_live_peer(cnf)) || call->running ||
 	    now_us < call->next_us)
 		return;
 	call->running = true;
--- a/src/cnf_store.c
+++ b/src/cnf_store.c
@@ -13,9 +13,10 @@
 	return store->cfg ? store->cfg->version : 0;
 }
 
-bool cnf_store_wants(const struct cnf_store *store, uint64_t version)
+bool cnf_store_should_fetch(const struct cnf_store *store, uint64_t version)
 {
-	return version > cnf_store_version(store) && version != store->refused;
+	return version > cnf_store_version(store) &&
+	       version != store->rejected_version;
 }
 
 enum aud_rule cnf_decide(uint64_t version, uint64_t known, uint64_t problems)
@@ -25,12 +26,12 @@
 	return problems ? AUD_R_CONFIG_BAD : AUD_R_CONFIG_TAKEN;
 }
 
-static void note_refusal(struct cnf_store *store, uint64_t version,
-			 const GPtrArray *problems)
+static void record_rejection(struct cnf_store *store, uint64_t version,
+			     const GPtrArray *problems)
 {
 	const struct cfg_problem *first = g_ptr_array_index(problems, 0);
 
-	store->refused = version;
+	store->rejected_version = version;
 	g_free(store->problem);
 	store->problem = g_strdup_printf(
 		"version %" G_GUINT64_FORMAT " refused: line %d: %s: %s",
@@ -38,7 +39,7 @@
 		first->text);
 }
 
-static void take(struct cnf_store *store, struct cfg *cfg)
+static void activate_config(struct cnf_store *store, struct cfg *cfg)
 {
 	cfg_unref(store->cfg);
 	store->cfg = cfg;
@@ -62,9 +63,9 @@
 	*problems = found->len;
 	rule = cnf_decide(version, known, *problems);
 	if (rule == AUD_R_CONFIG_TAKEN) {
-		take(store, cfg);
+		activate_config(store, cfg);
 	} else {
-		note_refusal(store, version, found);
+		record_rejection(store, version, found);
 		cfg_unref(cfg);
 	}
 	return rule;
--- a/src/cnf_tell.c
+++ b/src/cnf_tell.c
@@ -2,8 +2,8 @@
 #include "set.h"
 
 /* Tells the membership task where entry VMs may be found. */
-static void tell_contacts(struct cnf *cnf, const struct plt_vm *vms,
-			  uint32_t count)
+static void notify_contacts(struct cnf *cnf, const struct plt_vm *vms,
+			    uint32_t count)
 {
 	struct msg *m =
 		msg_new(MSG_CONTACTS, cnf->node->self, MSG_TASK_MEMBERS);
@@ -26,37 +26,37 @@
 	return !vm->entry && vm->leaving;
 }
 
-static bool same_listed(const GArray *listed, const struct plt_vm *vms,
-			uint32_t count)
+static bool same_leaving_vms(const GArray *known, const struct plt_vm *vms,
+			     uint32_t count)
 {
 	guint next = 0;
 
 	for (uint32_t i = 0; i < count; i++) {
 		if (!is_leaving_target(&vms[i]))
 			continue;
-		if (next >= listed->len ||
-		    !g_str_equal(
-			    g_array_index(listed, struct plt_vm, next).name,
-			    vms[i].name))
+		if (next >= known->len ||
+		    !g_str_equal(g_array_index(known, struct plt_vm, next).name,
+				 vms[i].name))
 			return false;
 		next++;
 	}
-	return next == listed->len;
+	return next == known->len;
 }
 
-void cnf_tell_listed(struct cnf *cnf, const struct plt_vm *vms, uint32_t count)
+void cnf_broadcast_set_vms(struct cnf *cnf, const struct plt_vm *vms,
+			   uint32_t count)
 {
-	tell_contacts(cnf, vms, count);
-	if (!same_listed(cnf->listed, vms, count))
-		cnf->tell_now = true;
-	cnf->listed_known = true;
-	g_array_set_size(cnf->listed, 0);
+	notify_contacts(cnf, vms, count);
+	if (!same_leaving_vms(cnf->leaving_vms, vms, count))
+		cnf->broadcast_due = true;
+	cnf->leaving_vms_known = true;
+	g_array_set_size(cnf->leaving_vms, 0);
 	for (uint32_t i = 0; i < count; i++)
 		if (is_leaving_target(&vms[i]))
-			g_array_append_val(cnf->listed, vms[i]);
+			g_array_append_val(cnf->leaving_vms, vms[i]);
 }
 
-static void tell(struct cnf *cnf, node_id to, const GPtrArray *names)
+static void send_list(struct cnf *cnf, node_id to, const GPtrArray *names)
 {
 	struct msg *m = msg_new(MSG_TARGETS_LEAVING, to, MSG_TASK_CONFIG);
 
@@ -68,17 +68,17 @@
 }
 
 /* Notes who was told names; who no longer is gets empty lists for a while. */
-static void note_told(struct cnf *cnf, GHashTable *receivers)
+static void track_receivers(struct cnf *cnf, GHashTable *receivers)
 {
 	GHashTableIter iter;
 	void *key;
 	void *left;
 
-	g_hash_table_iter_init(&iter, cnf->told);
+	g_hash_table_iter_init(&iter, cnf->notified);
 	while (g_hash_table_iter_next(&iter, &key, &left)) {
 		if (g_hash_table_contains(receivers, key))
 			continue;
-		tell(cnf, *(node_id *)key, NULL);
+		send_list(cnf, *(node_id *)key, NULL);
 		if (GPOINTER_TO_UINT(left) <= 1)
 			g_hash_table_iter_remove(&iter);
 		else
@@ -88,15 +88,17 @@
 	}
 	g_hash_table_iter_init(&iter, receivers);
 	while (g_hash_table_iter_next(&iter, &key, NULL))
-		g_hash_table_insert(cnf->told, g_memdup2(key, sizeof(node_id)),
-				    GUINT_TO_POINTER(CNF_EMPTY_REPEATS));
+		g_hash_table_insert(cnf->notified,
+				    g_memdup2(key, sizeof(node_id)),
+				    GUINT_TO_POINTER(CNF_EMPTY_LIST_REPEATS));
 }
 
-static void tell_all(struct cnf *cnf)
+static void broadcast(struct cnf *cnf)
 {
 	const struct cfg *cfg = cnf->store.cfg;
-	g_autoptr(GPtrArray) servers = cnf_leaving_servers(
-		cfg, (const void *)cnf->listed->data, cnf->listed->len);
+	g_autoptr(GPtrArray) servers =
+		cnf_leaving_servers(cfg, (const void *)cnf->leaving_vms->data,
+				    cnf->leaving_vms->len);
 	g_autoptr(GHashTable) receivers =
 		cnf_leaving_receivers(cfg, cnf->map, cnf->view, servers);
 	GHashTableIter iter;
@@ -106,29 +108,30 @@
 	g_hash_table_iter_init(&iter, receivers);
 	while (g_hash_table_iter_next(&iter, &key, &names))
 		if (*(node_id *)key != cnf->node->self)
-			tell(cnf, *(node_id *)key, names);
-	tell(cnf, cnf->node->self, servers);
-	note_told(cnf, receivers);
+			send_list(cnf, *(node_id *)key, names);
+	send_list(cnf, cnf->node->self, servers);
+	track_receivers(cnf, receivers);
 }
 
-void cnf_tell_tick(struct cnf *cnf, int64_t now_us)
+void cnf_broadcast_tick(struct cnf *cnf, int64_t now_us)
 {
-	if (!cnf->watcher || !cnf->listed_known || !cnf->store.cfg)
+	if (!cnf->watcher || !cnf->leaving_vms_known || !cnf->store.cfg)
 		return;
-	if (!cnf->tell_now && now_us - cnf->told_us < CNF_REFRESH_US)
+	if (!cnf->broadcast_due &&
+	    now_us - cnf->last_broadcast_us < CNF_LEAVING_REFRESH_US)
 		return;
-	cnf->tell_now = false;
-	cnf->told_us = now_us;
-	tell_all(cnf);
+	cnf->broadcast_due = false;
+	cnf->last_broadcast_us = now_us;
+	broadcast(cnf);
 }
 
-void cnf_tell_receive(struct cnf *cnf, const struct msg *m, int64_t now_us)
+void cnf_broadcast_receive(struct cnf *cnf, const struct msg *m, int64_t now_us)
 {
 	struct msg *all = msg_new(MSG_TARGETS_LEAVING, cnf->node->self,
 				  MSG_TASK_DISPATCH);
 
-	cnf_leaving_told(cnf->leaving, m->from, m->targets_leaving.servers,
-			 now_us);
+	cnf_leaving_update(cnf->leaving, m->from, m->targets_leaving.servers,
+			   now_us);
 	all->targets_leaving.servers = cnf_leaving_union(cnf->leaving, now_us);
 	bus_send(cnf->node->bus, all);
 }
--- a/src/mem.c
+++ b/src/mem.c
@@ -45,10 +45,10 @@
 }
 
 /* Tells the configuration task of a member with a newer version. */
-static void tell_hint(struct mem *mem)
+static void notify_config_hint(struct mem *mem)
 {
 	uint64_t version;
-	node_id id = mem_core_take_hint(mem->core, &version);
+	node_id id = mem_core_pop_hint(mem->core, &version);
 	struct msg *m;
 
 	if (!id)
@@ -59,7 +59,7 @@
 	bus_send(mem->node->bus, m);
 }
 
-static void tell_view(struct mem *mem)
+static void publish_view(struct mem *mem)
 {
 	struct mem_view *view;
 
@@ -72,8 +72,8 @@
 	bus_send_all(mem->node->bus, MSG_VIEW, view);
 }
 
-static void take_datagram(struct mem *mem, const uint8_t *data, size_t size,
-			  int64_t now_us)
+static void receive_datagram(struct mem *mem, const uint8_t *data, size_t size,
+			     int64_t now_us)
 {
 	ctr_add(mem->node->ctr, mem->received, 1);
 	ctr_add(mem->node->ctr, mem->received_bytes, size);
@@ -98,9 +98,9 @@
 		if (n < 0)
 			break;
 		if (n <= FS_DATAGRAM_MAX)
-			take_datagram(mem, data, (size_t)n, now_us);
+			receive_datagram(mem, data, (size_t)n, now_us);
 	}
-	tell_hint(mem);
+	notify_config_hint(mem);
 }
 
 static void on_tick(void *task, int64_t now_us)
@@ -108,7 +108,7 @@
 	struct mem *mem = task;
 
 	mem_core_tick(mem->core, now_us);
-	tell_view(mem);
+	publish_view(mem);
 }
 
 static struct mem_member describe_self(const struct node *node)
@@ -157,7 +157,7 @@
 		mem_core_set_listed(mem->core, (const void *)at->data, at->len);
 	} else if (m->type == MSG_STOP) {
 		mem_core_leave(mem->core);
-		tell_view(mem);
+		publish_view(mem);
 	}
 }
 
@@ -192,7 +192,7 @@
 	return fd;
 }
 
-static void count_names(struct mem *mem)
+static void register_counters(struct mem *mem)
 {
 	struct ctr *ctr = mem->node->ctr;
 
@@ -216,7 +216,7 @@
 	mem = g_new0(struct mem, 1);
 	mem->node = node;
 	mem->fd = fd;
-	count_names(mem);
+	register_counters(mem);
 	bus_attach(node->bus, MSG_TASK_MEMBERS, &ops, mem);
 	node_add_status(node, "members", write_status, mem);
 	ev_io_init(&mem->io, on_datagram, fd, EV_READ);
--- a/src/mem_check.c
+++ b/src/mem_check.c
@@ -2,16 +2,17 @@
 
 #include "mem_core_priv.h"
 
-#define SUSPECT_FREE_LOG 6 /* up to 64 members the period does not grow */
-#define DIRECT_FAILURES 2  /* own pings in a row before the path is at fault */
-#define HELPERS_FAR 2	   /* of them in failure domains of neither end */
+#define SUSPICION_BASE_LOG2 6 /* up to 64 members the period does not grow */
+#define DIRECT_FAILURES_MAX \
+	2	     /* own pings in a row before the path is at fault */
+#define FAR_RELAYS 2 /* of them in failure domains of neither end */
 
-int64_t mem_suspect_us(const struct mem_core *core)
+int64_t mem_suspicion_timeout_us(const struct mem_core *core)
 {
 	int log = 31 - __builtin_clz(core->table.present + 1);
 
 	return FS_SUSPECT_US +
-	       MAX(0, log - SUSPECT_FREE_LOG) * FS_GOSSIP_PERIOD_US;
+	       MAX(0, log - SUSPICION_BASE_LOG2) * FS_GOSSIP_PERIOD_US;
 }
 
 static struct mem_check *find_check(struct mem_core *core, node_id target)
@@ -54,16 +55,16 @@
 void mem_check_enroll(struct mem_core *core, struct mem_node *node)
 {
 	guint later = core->ring->len - MIN(core->ring_next, core->ring->len);
-	guint place = core->ring->len - mem_random_below(core, later + 1);
+	guint position = core->ring->len - mem_random_below(core, later + 1);
 
 	if (node->in_ring)
 		return;
 	node->in_ring = true;
-	g_array_insert_val(core->ring, place, node->m.id);
+	g_array_insert_val(core->ring, position, node->m.id);
 }
 
 /* Returns the next present member of the round; dead ones are dropped. */
-static struct mem_node *next_of_ring(struct mem_core *core)
+static struct mem_node *next_in_ring(struct mem_core *core)
 {
 	bool restarted = false;
 
@@ -107,8 +108,9 @@
 }
 
 /* Sends a request to ping @p target to a member not yet asked. */
-static bool ask_helper(struct mem_core *core, const struct mem_check *check,
-		       const struct mem_node *target, bool far, GArray *asked)
+static bool send_ping_req(struct mem_core *core, const struct mem_check *check,
+			  const struct mem_node *target, bool far,
+			  GArray *relays)
 {
 	guint n = core->table.nodes->len;
 	guint start = mem_random_below(core, n);
@@ -117,18 +119,18 @@
 		struct mem_node *node =
 			g_ptr_array_index(core->table.nodes, (start + i) % n);
 		struct mem_packet packet;
-		bool used = node == target || node == core->self ||
-			    node->m.state != MEM_ALIVE;
+		bool skipped = node == target || node == core->self ||
+			       node->m.state != MEM_ALIVE;
 
 		if (far && (!strcmp(node->m.domain, core->self->m.domain) ||
 			    !strcmp(node->m.domain, target->m.domain)))
 			continue;
-		for (guint k = 0; k < asked->len; k++)
-			used = used ||
-			       g_array_index(asked, node_id, k) == node->m.id;
-		if (used)
+		for (guint k = 0; k < relays->len; k++)
+			skipped = skipped || g_array_index(relays, node_id,
+							   k) == node->m.id;
+		if (skipped)
 			continue;
-		g_array_append_val(asked, node->m.id);
+		g_array_append_val(relays, node->m.id);
 		mem_send_begin(core, &packet, MEM_PING_REQ);
 		packet.sequence = check->sequence;
 		packet.subject = target->m.id;
@@ -140,16 +142,16 @@
 
 /* A cut often concerns a failure domain, so that most helpers are chosen in
  * domains of neither end. */
-static void ask_helpers(struct mem_core *core, struct mem_check *check,
-			const struct mem_node *target)
+static void send_ping_reqs(struct mem_core *core, struct mem_check *check,
+			   const struct mem_node *target)
 {
-	g_autoptr(GArray) asked = g_array_new(FALSE, FALSE, sizeof(node_id));
+	g_autoptr(GArray) relays = g_array_new(FALSE, FALSE, sizeof(node_id));
 
 	check->indirect = true;
 	for (int i = 0; i < FS_GOSSIP_INDIRECT; i++)
-		if (i >= HELPERS_FAR ||
-		    !ask_helper(core, check, target, true, asked))
-			ask_helper(core, check, target, false, asked);
+		if (i >= FAR_RELAYS ||
+		    !send_ping_req(core, check, target, true, relays))
+			send_ping_req(core, check, target, false, relays);
 }
 
 static void set_direct(struct mem_core *core, struct mem_node *node,
@@ -162,25 +164,25 @@
 }
 
 /* Own pings failed. Others hear the member, or nobody does. */
-static void end_check(struct mem_core *core, struct mem_check *check,
-		      struct mem_node *node, int64_t now_us)
+static void fail_check(struct mem_core *core, struct mem_check *check,
+		       struct mem_node *node, int64_t now_us)
 {
 	node->direct_failures++;
 	node->recheck = true;
-	if (node->direct_failures >= DIRECT_FAILURES)
+	if (node->direct_failures >= DIRECT_FAILURES_MAX)
 		set_direct(core, node, false);
 	if (!check->relayed && node->m.state != MEM_SUSPECT)
-		mem_judge(core, node, MEM_SUSPECT, now_us);
+		mem_declare_state(core, node, MEM_SUSPECT, now_us);
 	check->target = 0;
 }
 
 /* Without any datagram from others since the ping, the fault may be here:
  * the judgement waits until this node has been deaf for a while. */
-static bool may_judge(const struct mem_core *core,
-		      const struct mem_check *check, int64_t now_us)
+static bool may_conclude(const struct mem_core *core,
+			 const struct mem_check *check, int64_t now_us)
 {
 	return check->relayed || core->last_rx_us > check->sent_us ||
-	       now_us - check->sent_us > MEM_DEAF_US;
+	       now_us - check->sent_us > MEM_RX_TIMEOUT_US;
 }
 
 static void expire_check(struct mem_core *core, struct mem_check *check,
@@ -194,10 +196,10 @@
 		return;
 	}
 	if (waited_us >= FS_GOSSIP_ACK_US && !check->indirect)
-		ask_helpers(core, check, node);
-	if (waited_us >= FS_GOSSIP_ACK_US + MEM_INDIRECT_US &&
-	    may_judge(core, check, now_us))
-		end_check(core, check, node, now_us);
+		send_ping_reqs(core, check, node);
+	if (waited_us >= FS_GOSSIP_ACK_US + MEM_INDIRECT_TIMEOUT_US &&
+	    may_conclude(core, check, now_us))
+		fail_check(core, check, node, now_us);
 }
 
 static void expire_suspects(struct mem_core *core, int64_t now_us)
@@ -209,7 +211,7 @@
 
 		if (node->m.state == MEM_SUSPECT &&
 		    now_us >= node->suspect_until_us)
-			mem_judge(core, node, MEM_DEAD, now_us);
+			mem_declare_state(core, node, MEM_DEAD, now_us);
 	}
 }
 
@@ -224,7 +226,7 @@
 	if (now_us < core->next_ping_us)
 		return;
 	core->next_ping_us = now_us + FS_GOSSIP_PERIOD_US;
-	node = next_of_ring(core);
+	node = next_in_ring(core);
 	if (node)
 		start_check(core, node, now_us);
 	node = next_recheck(core);
@@ -232,22 +234,23 @@
 		start_check(core, node, now_us);
 }
 
-void mem_check_restart(struct mem_core *core, int64_t now_us)
+void mem_check_reset(struct mem_core *core, int64_t now_us)
 {
 	memset(core->checks, 0, sizeof(core->checks));
 	for (guint i = 0; i < core->table.nodes->len; i++) {
 		struct mem_node *node = g_ptr_array_index(core->table.nodes, i);
 
 		if (node->m.state == MEM_SUSPECT)
-			node->suspect_until_us = now_us + mem_suspect_us(core);
+			node->suspect_until_us =
+				now_us + mem_suspicion_timeout_us(core);
 	}
 	core->last_rx_us = now_us;
 	core->next_ping_us = now_us + FS_GOSSIP_PERIOD_US;
 }
 
 /* Passes an answer on to the member that asked for the ping. */
-static void answer_relay(struct mem_core *core, const struct mem_packet *packet,
-			 int64_t now_us)
+static void forward_ack(struct mem_core *core, const struct mem_packet *packet,
+			int64_t now_us)
 {
 	for (guint i = 0; i < MEM_RELAYS_MAX; i++) {
 		struct mem_relay *relay = &core->relays[i];
@@ -267,14 +270,14 @@
 	}
 }
 
-void mem_check_acked(struct mem_core *core, const struct mem_packet *packet,
-		     int64_t now_us)
+void mem_check_receive_ack(struct mem_core *core,
+			   const struct mem_packet *packet, int64_t now_us)
 {
 	struct mem_check *check = find_check(core, packet->subject);
 	struct mem_node *node = mem_table_find(&core->table, packet->subject);
 
 	if (packet->subject == packet->sender)
-		answer_relay(core, packet, now_us);
+		forward_ack(core, packet, now_us);
 	if (!check || !node || check->sequence != packet->sequence ||
 	    !packet->subject)
 		return;
@@ -290,8 +293,8 @@
 	set_direct(core, node, true);
 }
 
-void mem_check_relay(struct mem_core *core, const struct mem_packet *packet,
-		     int64_t now_us)
+void mem_check_receive_ping_req(struct mem_core *core,
+				const struct mem_packet *packet, int64_t now_us)
 {
 	struct mem_node *node = mem_table_find(&core->table, packet->subject);
 	struct mem_relay *relay = NULL;
@@ -306,6 +309,6 @@
 	relay->sequence = ++core->sequence;
 	relay->requester = packet->peer;
 	relay->requester_sequence = packet->sequence;
-	relay->expires_us = now_us + MEM_RELAY_US;
+	relay->expires_us = now_us + MEM_RELAY_TIMEOUT_US;
 	mem_send_ping(core, node, relay->sequence);
 }
--- a/src/mem_core.c
+++ b/src/mem_core.c
@@ -47,7 +47,7 @@
 	core->random = seed;
 	core->sequence = (uint32_t)mem_random(core);
 	core->ring = g_array_new(FALSE, FALSE, sizeof(node_id));
-	core->hot = g_ptr_array_new();
+	core->pending = g_ptr_array_new();
 	core->contacts = g_array_new(FALSE, FALSE, sizeof(struct sockaddr_in));
 	core->push_tokens = MEM_PUSH_BURST;
 	core->changed = true;
@@ -60,7 +60,7 @@
 		return;
 	mem_table_clear(&core->table);
 	g_array_unref(core->ring);
-	g_ptr_array_unref(core->hot);
+	g_ptr_array_unref(core->pending);
 	g_array_unref(core->contacts);
 	g_free(core);
 }
@@ -103,15 +103,15 @@
 
 void mem_core_tick(struct mem_core *core, int64_t now_us)
 {
-	if (!core->ticked_us) {
+	if (!core->last_tick_us) {
 		core->last_rx_us = now_us;
 		core->push_refilled_us = now_us;
 		core->next_ping_us =
 			now_us + mem_random_below(core, FS_GOSSIP_PERIOD_US);
-	} else if (now_us - core->ticked_us > MEM_PAUSE_US) {
-		mem_check_restart(core, now_us);
+	} else if (now_us - core->last_tick_us > MEM_PAUSE_MIN_US) {
+		mem_check_reset(core, now_us);
 	}
-	core->ticked_us = now_us;
+	core->last_tick_us = now_us;
 	mem_check_tick(core, now_us);
 	mem_sync_tick(core, now_us);
 	if (core->leave_repeats) {
@@ -152,7 +152,8 @@
 	mem_send_bare(core, &packet, to);
 }
 
-static void note_version(struct mem_core *core, const struct mem_packet *packet)
+static void record_config_version(struct mem_core *core,
+				  const struct mem_packet *packet)
 {
 	struct mem_node *node = mem_table_find(&core->table, packet->sender);
 
@@ -168,8 +169,8 @@
 }
 
 /* Merges what the sender tells of itself and of others. */
-static void merge_all(struct mem_core *core, const struct mem_packet *packet,
-		      int64_t now_us)
+static void merge_updates(struct mem_core *core,
+			  const struct mem_packet *packet, int64_t now_us)
 {
 	g_autoptr(GArray)
 		wanted = g_array_new(FALSE, TRUE, sizeof(struct mem_update));
@@ -183,41 +184,41 @@
 	for (guint i = 0; i < packet->updates->len; i++) {
 		const struct mem_update *update =
 			&g_array_index(packet->updates, struct mem_update, i);
-		struct mem_update ask = {.id = update->id};
+		struct mem_update missing = {.id = update->id};
 
 		if (packet->type != MEM_PULL && mem_merge(core, update, now_us))
-			g_array_append_val(wanted, ask);
+			g_array_append_val(wanted, missing);
 	}
 	if (mem_merge(core, &sender, now_us))
 		g_array_append_val(wanted, sender);
 	send_pull(core, &packet->peer, wanted);
 }
 
-static void act(struct mem_core *core, const struct mem_packet *packet,
-		int64_t now_us)
+static void handle_packet(struct mem_core *core,
+			  const struct mem_packet *packet, int64_t now_us)
 {
 	switch (packet->type) {
 	case MEM_PING:
 		send_ack(core, packet);
 		break;
 	case MEM_ACK:
-		mem_check_acked(core, packet, now_us);
+		mem_check_receive_ack(core, packet, now_us);
 		break;
 	case MEM_PING_REQ:
-		mem_check_relay(core, packet, now_us);
+		mem_check_receive_ping_req(core, packet, now_us);
 		break;
 	case MEM_SYNC:
 		mem_sync_receive(core, packet);
 		break;
 	case MEM_PULL:
-		mem_sync_pulled(core, packet);
+		mem_sync_answer_pull(core, packet);
 		break;
 	default:
 		break;
 	}
 	if ((packet->type == MEM_PING || packet->type == MEM_ACK) &&
 	    packet->digest != mem_table_digest(&core->table))
-		mem_sync_differs(core, &packet->peer, now_us);
+		mem_sync_on_mismatch(core, &packet->peer, now_us);
 }
 
 int mem_core_receive(struct mem_core *core, const uint8_t *data, size_t size,
@@ -228,9 +229,9 @@
 
 	if (!err && packet.sender != core->self->m.id) {
 		core->last_rx_us = now_us;
-		merge_all(core, &packet, now_us);
-		note_version(core, &packet);
-		act(core, &packet, now_us);
+		merge_updates(core, &packet, now_us);
+		record_config_version(core, &packet);
+		handle_packet(core, &packet, now_us);
 		mem_send_pushes(core, now_us);
 	}
 	mem_packet_clear(&packet);
@@ -245,7 +246,7 @@
 	core->self->refutation++;
 	core->changed = true;
 	core->leave_repeats = MEM_LEAVE_REPEATS;
-	mem_send_later(core, core->self, false);
+	mem_send_enqueue(core, core->self, false);
 	mem_send_leaving(core);
 }
 
@@ -255,7 +256,7 @@
 	if (version <= core->self->m.config_version)
 		return;
 	core->self->m.config_version = version;
-	core->push = true;
+	core->push_due = true;
 	mem_send_pushes(core, now_us);
 }
 
@@ -276,7 +277,7 @@
 	return mem_table_view(&core->table, core->self->m.id, 0);
 }
 
-node_id mem_core_take_hint(struct mem_core *core, uint64_t *version)
+node_id mem_core_pop_hint(struct mem_core *core, uint64_t *version)
 {
 	node_id hint = core->hint;
 
--- a/src/mem_core.h
+++ b/src/mem_core.h
@@ -71,7 +71,7 @@
  * Returns a member whose configuration version is higher than this node's,
  * heard of since the last call, or 0.
  */
-node_id mem_core_take_hint(struct mem_core *core, uint64_t *version);
+node_id mem_core_pop_hint(struct mem_core *core, uint64_t *version);
 
 /** Returns how many members are alive, this node included. */
 uint32_t mem_core_alive(const struct mem_core *core);
--- a/src/mem_merge.c
+++ b/src/mem_merge.c
@@ -1,6 +1,6 @@
 #include "mem_core_priv.h"
 
-#define SUSPECT_PINGS 4 /* nodes that ask a suspect at once, on average */
+#define SUSPECT_PINGS_MEAN 4 /* nodes that ask a suspect at once, on average */
 
 static void set_state(struct mem_core *core, struct mem_node *node,
 		      enum mem_state state, int64_t now_us)
@@ -8,9 +8,10 @@
 	node->m.state = state;
 	node->recontact = false;
 	if (state == MEM_SUSPECT)
-		node->suspect_until_us = now_us + mem_suspect_us(core);
+		node->suspect_until_us =
+			now_us + mem_suspicion_timeout_us(core);
 	if (state == MEM_DEAD)
-		node->died_us = now_us;
+		node->dead_since_us = now_us;
 	mem_table_recount(&core->table);
 	core->changed = true;
 	core->changed_us = now_us;
@@ -20,17 +21,17 @@
 
 void mem_drop(struct mem_core *core, struct mem_node *node)
 {
-	g_ptr_array_remove(core->hot, node);
+	g_ptr_array_remove(core->pending, node);
 	mem_table_remove(&core->table, node);
 	core->changed = true;
 }
 
-void mem_judge(struct mem_core *core, struct mem_node *node,
-	       enum mem_state state, int64_t now_us)
+void mem_declare_state(struct mem_core *core, struct mem_node *node,
+		       enum mem_state state, int64_t now_us)
 {
 	set_state(core, node, state, now_us);
-	if (now_us - core->last_rx_us <= MEM_DEAF_US)
-		mem_send_later(core, node, false);
+	if (now_us - core->last_rx_us <= MEM_RX_TIMEOUT_US)
+		mem_send_enqueue(core, node, false);
 }
 
 /* Denies that this node is suspect or dead. A process that replaced one with
@@ -51,7 +52,7 @@
 		core->changed = true;
 	}
 	self->refutation = update->refutation + 1;
-	mem_send_later(core, self, true);
+	mem_send_enqueue(core, self, true);
 }
 
 static bool merge_unknown(struct mem_core *core,
@@ -73,12 +74,12 @@
 	node->refutation = update->refutation;
 	node->m.direct = true;
 	set_state(core, node, update->state, now_us);
-	mem_send_later(core, node, true);
+	mem_send_enqueue(core, node, true);
 	return false;
 }
 
-static void take_full(struct mem_core *core, struct mem_node *node,
-		      const struct mem_update *update)
+static void apply_full(struct mem_core *core, struct mem_node *node,
+		       const struct mem_update *update)
 {
 	bool direct = node->m.direct;
 	uint64_t version = node->m.config_version;
@@ -96,9 +97,9 @@
 }
 
 /* A few nodes ask a member at once that others call suspect. */
-static void ask_suspect(struct mem_core *core, struct mem_node *node)
+static void ping_suspect(struct mem_core *core, struct mem_node *node)
 {
-	if (mem_random_below(core, core->table.present) < SUSPECT_PINGS)
+	if (mem_random_below(core, core->table.present) < SUSPECT_PINGS_MEAN)
 		mem_send_ping(core, node, ++core->sequence);
 }
 
@@ -127,11 +128,11 @@
 	if (update->incarnation > node->m.incarnation && !update->full)
 		return update->state != MEM_DEAD;
 	if (update->full)
-		take_full(core, node, update);
+		apply_full(core, node, update);
 	node->refutation = update->refutation;
 	set_state(core, node, update->state, now_us);
-	mem_send_later(core, node, update->full);
+	mem_send_enqueue(core, node, update->full);
 	if (update->state == MEM_SUSPECT)
-		ask_suspect(core, node);
+		ping_suspect(core, node);
 	return false;
 }
--- a/src/mem_send.c
+++ b/src/mem_send.c
@@ -26,27 +26,27 @@
 	mem_packet_clear(packet);
 }
 
-static gint by_sends_left(gconstpointer a, gconstpointer b)
+static gint by_transmits_left(gconstpointer a, gconstpointer b)
 {
 	const struct mem_node *x = *(struct mem_node *const *)a;
 	const struct mem_node *y = *(struct mem_node *const *)b;
 
-	if (x->sends_left != y->sends_left)
-		return x->sends_left < y->sends_left ? 1 : -1;
+	if (x->transmits_left != y->transmits_left)
+		return x->transmits_left < y->transmits_left ? 1 : -1;
 	return x->m.id < y->m.id ? -1 : x->m.id > y->m.id;
 }
 
 /* Adds the updates that were sent least so far, as many as fit. */
-static void add_pending(struct mem_core *core, struct mem_packet *packet)
+static void piggyback_updates(struct mem_core *core, struct mem_packet *packet)
 {
 	size_t size = HEADER_SIZE;
 
 	for (guint i = 0; i < packet->updates->len; i++)
 		size += mem_update_size(
 			&g_array_index(packet->updates, struct mem_update, i));
-	g_ptr_array_sort(core->hot, by_sends_left);
-	for (guint i = 0; i < core->hot->len; i++) {
-		struct mem_node *node = g_ptr_array_index(core->hot, i);
+	g_ptr_array_sort(core->pending, by_transmits_left);
+	for (guint i = 0; i < core->pending->len; i++) {
+		struct mem_node *node = g_ptr_array_index(core->pending, i);
 		struct mem_update update =
 			mem_node_update(node, node->send_full);
 		size_t added = mem_update_size(&update);
@@ -55,20 +55,20 @@
 			break;
 		size += added;
 		g_array_append_val(packet->updates, update);
-		node->sends_left--;
+		node->transmits_left--;
 	}
-	for (guint i = core->hot->len; i > 0; i--) {
-		struct mem_node *node = g_ptr_array_index(core->hot, i - 1);
+	for (guint i = core->pending->len; i > 0; i--) {
+		struct mem_node *node = g_ptr_array_index(core->pending, i - 1);
 
-		if (!node->sends_left)
-			g_ptr_array_remove_index(core->hot, i - 1);
+		if (!node->transmits_left)
+			g_ptr_array_remove_index(core->pending, i - 1);
 	}
 }
 
 void mem_send_end(struct mem_core *core, struct mem_packet *packet,
 		  const struct sockaddr_in *to)
 {
-	add_pending(core, packet);
+	piggyback_updates(core, packet);
 	mem_send_bare(core, packet, to);
 }
 
@@ -88,23 +88,23 @@
 }
 
 /* Three times the binary logarithm of the number of members. */
-static uint32_t sends_for(uint32_t members)
+static uint32_t transmit_limit(uint32_t members)
 {
 	return 3 * (32 - (uint32_t)__builtin_clz(members + 1));
 }
 
-void mem_send_later(struct mem_core *core, struct mem_node *node, bool full)
+void mem_send_enqueue(struct mem_core *core, struct mem_node *node, bool full)
 {
-	if (!node->sends_left) {
-		g_ptr_array_add(core->hot, node);
+	if (!node->transmits_left) {
+		g_ptr_array_add(core->pending, node);
 		node->send_full = false;
 	}
 	node->send_full = node->send_full || full;
-	node->sends_left = sends_for(core->table.present);
-	core->push = true;
+	node->transmits_left = transmit_limit(core->table.present);
+	core->push_due = true;
 }
 
-static void push(struct mem_core *core, uint32_t fanout)
+static void push_to_random(struct mem_core *core, uint32_t fanout)
 {
 	for (uint32_t i = 0; i < fanout; i++) {
 		struct mem_node *node = mem_random_live(core);
@@ -119,7 +119,7 @@
 
 void mem_send_leaving(struct mem_core *core)
 {
-	push(core, MEM_LEAVE_FANOUT);
+	push_to_random(core, MEM_LEAVE_FANOUT);
 }
 
 void mem_send_pushes(struct mem_core *core, int64_t now_us)
@@ -131,9 +131,9 @@
 	}
 	if (core->push_tokens == MEM_PUSH_BURST)
 		core->push_refilled_us = now_us;
-	if (core->push && core->push_tokens) {
-		core->push = false;
+	if (core->push_due && core->push_tokens) {
+		core->push_due = false;
 		core->push_tokens--;
-		push(core, MEM_PUSH_FANOUT);
+		push_to_random(core, MEM_PUSH_FANOUT);
 	}
 }
--- a/src/mem_sync.c
+++ b/src/mem_sync.c
@@ -2,8 +2,8 @@
 
 #define CONTACTS_AT_ONCE 3
 #define RECONTACTS_AT_ONCE 2
-#define SYNC_ENTRIES 48 /* compact updates of one datagram */
-#define FULL_BYTES 1200 /* of full updates in one datagram */
+#define SYNC_ENTRIES_MAX 48 /* compact updates of one datagram */
+#define FULL_BYTES_MAX 1200 /* of full updates in one datagram */
 
 static int compare_nodes(gconstpointer a, gconstpointer b)
 {
@@ -49,7 +49,7 @@
 	guint i = 0;
 
 	while (i < nodes->len) {
-		guint end = MIN(i + SYNC_ENTRIES, nodes->len);
+		guint end = MIN(i + SYNC_ENTRIES_MAX, nodes->len);
 		struct mem_packet packet;
 
 		mem_send_begin(core, &packet, MEM_SYNC);
@@ -70,32 +70,31 @@
 }
 
 /** Full updates on their way to one member. */
-struct bundle {
+struct batch {
 	struct mem_packet packet;
 	size_t size;
 };
 
-static void bundle_flush(struct mem_core *core, struct bundle *bundle,
-			 const struct sockaddr_in *to)
+static void batch_flush(struct mem_core *core, struct batch *batch,
+			const struct sockaddr_in *to)
 {
-	if (bundle->size)
-		mem_send_bare(core, &bundle->packet, to);
-	bundle->size = 0;
+	if (batch->size)
+		mem_send_bare(core, &batch->packet, to);
+	batch->size = 0;
 }
 
-static void bundle_add(struct mem_core *core, struct bundle *bundle,
-		       const struct mem_node *node,
-		       const struct sockaddr_in *to)
+static void batch_add(struct mem_core *core, struct batch *batch,
+		      const struct mem_node *node, const struct sockaddr_in *to)
 {
 	struct mem_update update = mem_node_update(node, true);
 	size_t added = mem_update_size(&update);
 
-	if (bundle->size + added > FULL_BYTES)
-		bundle_flush(core, bundle, to);
-	if (!bundle->size)
-		mem_send_begin(core, &bundle->packet, MEM_MEMBERS);
-	bundle->size += added;
-	g_array_append_val(bundle->packet.updates, update);
+	if (batch->size + added > FULL_BYTES_MAX)
+		batch_flush(core, batch, to);
+	if (!batch->size)
+		mem_send_begin(core, &batch->packet, MEM_MEMBERS);
+	batch->size += added;
+	g_array_append_val(batch->packet.updates, update);
 }
 
 /* Sends what the other one lacks of the range, or knows an older state of.
@@ -104,52 +103,53 @@
 {
 	g_autoptr(GPtrArray) nodes = present_nodes(core);
 	g_autoptr(GHashTable)
-		told = g_hash_table_new(g_int64_hash, g_int64_equal);
-	struct bundle bundle = {0};
+		received = g_hash_table_new(g_int64_hash, g_int64_equal);
+	struct batch batch = {0};
 
 	for (guint i = 0; i < packet->updates->len; i++) {
 		struct mem_update *update =
 			&g_array_index(packet->updates, struct mem_update, i);
 
-		g_hash_table_insert(told, &update->id, update);
+		g_hash_table_insert(received, &update->id, update);
 	}
 	for (guint i = 0; i < nodes->len; i++) {
 		const struct mem_node *node = g_ptr_array_index(nodes, i);
 		struct mem_update known = mem_node_update(node, false);
 		const struct mem_update *update =
-			g_hash_table_lookup(told, &node->m.id);
+			g_hash_table_lookup(received, &node->m.id);
 
 		if (node->m.id < packet->low || node->m.id > packet->high)
 			continue;
 		if (!update || mem_update_supersedes(&known, update))
-			bundle_add(core, &bundle, node, &packet->peer);
+			batch_add(core, &batch, node, &packet->peer);
 	}
-	bundle_flush(core, &bundle, &packet->peer);
+	batch_flush(core, &batch, &packet->peer);
 }
 
-void mem_sync_pulled(struct mem_core *core, const struct mem_packet *packet)
+void mem_sync_answer_pull(struct mem_core *core,
+			  const struct mem_packet *packet)
 {
-	struct bundle bundle = {0};
+	struct batch batch = {0};
 
 	for (guint i = 0; i < packet->updates->len; i++) {
-		const struct mem_update *asked =
+		const struct mem_update *wanted =
 			&g_array_index(packet->updates, struct mem_update, i);
 		const struct mem_node *node =
-			mem_table_find(&core->table, asked->id);
+			mem_table_find(&core->table, wanted->id);
 
 		if (node && mem_node_present(node))
-			bundle_add(core, &bundle, node, &packet->peer);
+			batch_add(core, &batch, node, &packet->peer);
 	}
-	bundle_flush(core, &bundle, &packet->peer);
+	batch_flush(core, &batch, &packet->peer);
 }
 
-void mem_sync_differs(struct mem_core *core, const struct sockaddr_in *to,
-		      int64_t now_us)
+void mem_sync_on_mismatch(struct mem_core *core, const struct sockaddr_in *to,
+			  int64_t now_us)
 {
 	if (now_us < core->next_sync_us ||
-	    now_us - core->changed_us < MEM_SYNC_QUIET_US)
+	    now_us - core->changed_us < MEM_SYNC_SETTLE_US)
 		return;
-	core->next_sync_us = now_us + MEM_SYNC_US;
+	core->next_sync_us = now_us + MEM_SYNC_INTERVAL_MIN_US;
 	send_table(core, to);
 }
 
@@ -186,8 +186,8 @@
 }
 
 /* Pings up to @p limit dead members; those held alive elsewhere only, if
- * @p wanted. */
-static void contact_dead(struct mem_core *core, guint limit, bool wanted)
+ * @p reported_only. */
+static void contact_dead(struct mem_core *core, guint limit, bool reported_only)
 {
 	guint n = core->table.nodes->len;
 	guint start = mem_random_below(core, n);
@@ -196,7 +196,8 @@
 		struct mem_node *node =
 			g_ptr_array_index(core->table.nodes, (start + i) % n);
 
-		if (mem_node_present(node) || (wanted && !node->recontact))
+		if (mem_node_present(node) ||
+		    (reported_only && !node->recontact))
 			continue;
 		if (node->recontact) {
 			node->recontact = false;
@@ -207,14 +208,14 @@
 	}
 }
 
-static void forget_dead(struct mem_core *core, int64_t now_us)
+static void purge_dead(struct mem_core *core, int64_t now_us)
 {
 	for (guint i = core->table.nodes->len; i > 0; i--) {
 		struct mem_node *node =
 			g_ptr_array_index(core->table.nodes, i - 1);
 
 		if (mem_node_present(node) ||
-		    now_us - node->died_us < MEM_FORGET_US)
+		    now_us - node->dead_since_us < MEM_DEAD_RETENTION_US)
 			continue;
 		mem_drop(core, node);
 	}
@@ -229,10 +230,12 @@
 	if (now_us < core->next_contact_us)
 		return;
 	core->next_contact_us =
-		now_us + (alone ? MEM_CONTACT_ALONE_US : MEM_CONTACT_US) / 2 +
-		mem_random_below(core,
-				 alone ? MEM_CONTACT_ALONE_US : MEM_CONTACT_US);
+		now_us +
+		(alone ? MEM_CONTACT_PERIOD_ALONE_US : MEM_CONTACT_PERIOD_US) /
+			2 +
+		mem_random_below(core, alone ? MEM_CONTACT_PERIOD_ALONE_US :
+					       MEM_CONTACT_PERIOD_US);
 	contact_some(core, alone ? CONTACTS_AT_ONCE : 1);
 	contact_dead(core, 1, false);
-	forget_dead(core, now_us);
+	purge_dead(core, now_us);
 }
--- a/src/mem_table.c
+++ b/src/mem_table.c
@@ -31,7 +31,7 @@
 		struct mem_node *node = g_ptr_array_index(table->nodes, i);
 
 		if (!mem_node_present(node) &&
-		    (!oldest || node->died_us < oldest->died_us))
+		    (!oldest || node->dead_since_us < oldest->dead_since_us))
 			oldest = node;
 	}
 	return oldest;
--- a/src/mem_table.h
+++ b/src/mem_table.h
@@ -15,10 +15,10 @@
 struct mem_node {
 	struct mem_member m;
 	uint32_t refutation;
-	uint32_t sends_left; /* datagrams that still carry its update */
-	bool send_full;	     /* the update is sent in full */
+	uint32_t transmits_left; /* datagrams that still carry its update */
+	bool send_full;		 /* the update is sent in full */
 	int64_t suspect_until_us;
-	int64_t died_us;
+	int64_t dead_since_us;
 	uint32_t direct_failures; /* own pings in a row without an answer */
 	bool recheck;		  /* to be pinged again soon */
 	bool recontact;		  /* dead, but another node holds it alive */
--- a/src/mem_view.c
+++ b/src/mem_view.c
@@ -18,14 +18,14 @@
 		g_free(view);
 }
 
-uint32_t mem_view_first(const struct mem_view *view, const char *domain,
-			node_id first[2])
+uint32_t mem_view_hubs(const struct mem_view *view, const char *domain,
+		       node_id hubs[2])
 {
 	uint64_t key = fs_node_id(domain);
-	uint64_t best[2] = {0, 0};
+	uint64_t weights[2] = {0, 0};
 	uint32_t alive = 0;
 
-	first[0] = first[1] = 0;
+	hubs[0] = hubs[1] = 0;
 	for (uint32_t i = 0; i < view->count; i++) {
 		const struct mem_member *m = &view->members[i];
 		uint64_t weight = shd_weight(key, m->id);
@@ -33,14 +33,14 @@
 		if (m->state != MEM_ALIVE || strcmp(m->domain, domain) != 0)
 			continue;
 		alive++;
-		if (weight > best[0]) {
-			first[1] = first[0];
-			best[1] = best[0];
-			first[0] = m->id;
-			best[0] = weight;
-		} else if (weight > best[1]) {
-			first[1] = m->id;
-			best[1] = weight;
+		if (weight > weights[0]) {
+			hubs[1] = hubs[0];
+			weights[1] = weights[0];
+			hubs[0] = m->id;
+			weights[0] = weight;
+		} else if (weight > weights[1]) {
+			hubs[1] = m->id;
+			weights[1] = weight;
 		}
 	}
 	return alive;
--- a/tests/prop_cnf.cpp
+++ b/tests/prop_cnf.cpp
@@ -11,21 +11,22 @@
 namespace
 {
 
-const char GOOD[] = "deployment: cascade\n"
-		    "failure_domains:\n"
-		    "  - {name: pnw-a, region: pnw}\n"
-		    "services:\n"
-		    "  - name: lookup\n"
-		    "    floor: 60%\n"
-		    "    slots: 4\n"
-		    "    servers:\n"
-		    "      - {name: lookup-1, address: \"127.0.0.1:9101\","
-		    " failure_domain: pnw-a}\n"
-		    "routes:\n"
-		    "  - {name: status, path: /status, methods: [GET],"
-		    " service: lookup, deadline_ms: 2000}\n";
+const char VALID_CONFIG[] =
+	"deployment: cascade\n"
+	"failure_domains:\n"
+	"  - {name: pnw-a, region: pnw}\n"
+	"services:\n"
+	"  - name: lookup\n"
+	"    floor: 60%\n"
+	"    slots: 4\n"
+	"    servers:\n"
+	"      - {name: lookup-1, address: \"127.0.0.1:9101\","
+	" failure_domain: pnw-a}\n"
+	"routes:\n"
+	"  - {name: status, path: /status, methods: [GET],"
+	" service: lookup, deadline_ms: 2000}\n";
 
-bool versions_never_go_back()
+bool versions_are_monotonic()
 {
 	return rc::check("versions never go back", [] {
 		auto offers = *rc::gen::container<
@@ -37,10 +38,11 @@
 
 		for (const auto &offer : offers) {
 			uint64_t problems = 0;
-			bool wanted = cnf_store_wants(&store, offer.first);
+			bool wanted =
+				cnf_store_should_fetch(&store, offer.first);
 			aud_rule rule = cnf_store_offer(
 				&store, offer.first,
-				offer.second ? GOOD : "deployment: 1\n",
+				offer.second ? VALID_CONFIG : "deployment: 1\n",
 				&problems);
 			uint64_t now = cnf_store_version(&store);
 
@@ -54,8 +56,8 @@
 			if (offer.first > in_force && !offer.second) {
 				RC_ASSERT(rule == AUD_R_CONFIG_BAD);
 				RC_ASSERT(store.problem != nullptr);
-				RC_ASSERT(
-					!cnf_store_wants(&store, offer.first));
+				RC_ASSERT(!cnf_store_should_fetch(&store,
+								  offer.first));
 			}
 			if (offer.first <= in_force)
 				RC_ASSERT(!wanted);
@@ -65,7 +67,7 @@
 	});
 }
 
-bool values_are_parsed_or_refused()
+bool values_are_parsed_or_rejected()
 {
 	return rc::check("a value of any bytes is parsed or refused", [] {
 		auto text = *rc::gen::container<std::string>(
@@ -82,8 +84,8 @@
 
 int main()
 {
-	bool ok = versions_never_go_back();
+	bool ok = versions_are_monotonic();
 
-	ok = values_are_parsed_or_refused() && ok;
+	ok = values_are_parsed_or_rejected() && ok;
 	return ok ? 0 : 1;
 }
--- a/tests/prop_mem.cpp
+++ b/tests/prop_mem.cpp
@@ -43,7 +43,7 @@
 			      rc::gen::inRange(0, 4));
 }
 
-bool updates_are_in_a_strict_order()
+bool updates_have_a_strict_order()
 {
 	return rc::check("updates on a member are in a strict order", [] {
 		auto a = *gen_update(1);
@@ -109,7 +109,7 @@
 
 // Each member is told of as alive first; whatever comes after that, in
 // whatever order, ends in the same table.
-bool any_order_gives_the_same_table()
+bool update_order_does_not_matter()
 {
 	return rc::check("any order of updates gives the same table", [] {
 		std::vector<mem_update> first;
@@ -127,16 +127,16 @@
 		first.insert(first.end(), shuffled.begin(), shuffled.end());
 		mem_core *a = core_with(all);
 		mem_core *b = core_with(first);
-		std::string held_by_a = present(a);
-		std::string held_by_b = present(b);
+		std::string table_a = present(a);
+		std::string table_b = present(b);
 
 		mem_core_free(a);
 		mem_core_free(b);
-		RC_ASSERT(held_by_a == held_by_b);
+		RC_ASSERT(table_a == table_b);
 	});
 }
 
-bool mutated_datagrams_are_survived()
+bool mutated_datagrams_are_rejected_or_harmless()
 {
 	return rc::check("a mutated datagram is refused or harmless", [] {
 		auto update = *gen_update(4);
@@ -166,9 +166,9 @@
 
 int main()
 {
-	bool ok = updates_are_in_a_strict_order();
+	bool ok = updates_have_a_strict_order();
 
-	ok = any_order_gives_the_same_table() && ok;
-	ok = mutated_datagrams_are_survived() && ok;
+	ok = update_order_does_not_matter() && ok;
+	ok = mutated_datagrams_are_rejected_or_harmless() && ok;
 	return ok ? 0 : 1;
 }
--- a/tests/unit_cnf.c
+++ b/tests/unit_cnf.c
@@ -14,12 +14,12 @@
 	return all;
 }
 
-static void told(struct cnf_leaving *leaving, node_id poller, const char *text,
-		 int64_t now_us)
+static void report_list(struct cnf_leaving *leaving, node_id poller,
+			const char *text, int64_t now_us)
 {
 	g_autoptr(GPtrArray) list = names(text);
 
-	cnf_leaving_told(leaving, poller, list, now_us);
+	cnf_leaving_update(leaving, poller, list, now_us);
 }
 
 static void assert_union(struct cnf_leaving *leaving, int64_t now_us,
@@ -35,31 +35,31 @@
 }
 
 /* A poller that lags must not give a leaving target new work again. */
-static void test_lagging_poller_clears_nothing(void)
+static void test_lagging_poller_keeps_leaving(void)
 {
 	struct cnf_leaving *leaving = cnf_leaving_new();
 	int64_t s = FS_US_PER_S;
 
-	told(leaving, 1, "b a", 1 * s);
-	told(leaving, 2, "", 2 * s);
+	report_list(leaving, 1, "b a", 1 * s);
+	report_list(leaving, 2, "", 2 * s);
 	assert_union(leaving, 2 * s, "a b");
-	told(leaving, 2, "c", 3 * s);
+	report_list(leaving, 2, "c", 3 * s);
 	assert_union(leaving, 3 * s, "a b c");
-	told(leaving, 1, "", 4 * s);
+	report_list(leaving, 1, "", 4 * s);
 	assert_union(leaving, 4 * s, "c");
 	cnf_leaving_free(leaving);
 }
 
-static void test_silent_poller_lapses(void)
+static void test_unresponsive_poller_expires(void)
 {
 	struct cnf_leaving *leaving = cnf_leaving_new();
 	int64_t s = FS_US_PER_S;
 
-	told(leaving, 1, "a", 1 * s);
+	report_list(leaving, 1, "a", 1 * s);
 	assert_union(leaving, 3600 * s, "a"); /* nobody told otherwise */
-	told(leaving, 2, "b", 5 * s);
+	report_list(leaving, 2, "b", 5 * s);
 	assert_union(leaving, 5 * s, "a b");
-	told(leaving, 2, "b", 12 * s);
+	report_list(leaving, 2, "b", 12 * s);
 	assert_union(leaving, 12 * s, "b");
 	cnf_leaving_free(leaving);
 }
@@ -68,7 +68,7 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/cnf/lagging_poller",
-			test_lagging_poller_clears_nothing);
-	g_test_add_func("/cnf/silent_poller", test_silent_poller_lapses);
+			test_lagging_poller_keeps_leaving);
+	g_test_add_func("/cnf/silent_poller", test_unresponsive_poller_expires);
 	return g_test_run();
 }
--- a/tests/unit_mem.c
+++ b/tests/unit_mem.c
@@ -7,18 +7,19 @@
 #define LEAVING_MS 500 /* nobody picks it long before answers expire */
 #define CONFIG_MS 6000 /* in force everywhere, by the letter */
 
-static struct sim *settled(uint32_t count, uint32_t regions, uint32_t domains)
+static struct sim *new_converged(uint32_t count, uint32_t regions,
+				 uint32_t domains)
 {
 	struct sim *sim = sim_new(count, regions, domains, count);
 
-	sim_settle(sim, 60000);
-	g_assert_cmpuint(sim_complete(sim), ==, count);
+	sim_converge(sim, 60000);
+	g_assert_cmpuint(sim_count_converged(sim), ==, count);
 	return sim;
 }
 
 /* Steps through @p ms and asserts that no running node ever holds another
  * running one otherwise than alive; nodes below @p from are not asked. */
-static void run_without_accusation(struct sim *sim, int64_t ms, uint32_t from)
+static void run_without_suspicion(struct sim *sim, int64_t ms, uint32_t from)
 {
 	for (int64_t end = sim->now_ms + ms; sim->now_ms < end;) {
 		sim_run(sim, 100);
@@ -28,67 +29,67 @@
 	}
 }
 
-static void test_idle_is_quiet(void)
+static void test_idle_has_no_suspicion(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
-	run_without_accusation(sim, 120000, 0);
+	run_without_suspicion(sim, 120000, 0);
 	sim_free(sim);
 }
 
-static void test_kill_is_seen_by_all(void)
+static void test_kill_is_detected_by_all(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 	int64_t suspected_ms;
 
 	sim->nodes[7].down = true;
 	suspected_ms = sim->now_ms;
-	while (sim_holding(sim, 7, MEM_ALIVE) &&
+	while (sim_count_state(sim, 7, MEM_ALIVE) &&
 	       sim->now_ms - suspected_ms < DETECT_MS)
 		sim_run(sim, 100);
-	g_assert_cmpuint(sim_holding(sim, 7, MEM_ALIVE), ==, 0);
+	g_assert_cmpuint(sim_count_state(sim, 7, MEM_ALIVE), ==, 0);
 	sim_until(sim, 7, MEM_DEAD, 47, DEAD_MS);
-	g_assert_cmpuint(sim_holding(sim, 7, MEM_DEAD), ==, 47);
-	g_assert_cmpuint(sim_complete(sim), ==, 47);
+	g_assert_cmpuint(sim_count_state(sim, 7, MEM_DEAD), ==, 47);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 47);
 	sim_free(sim);
 }
 
 /* With two nodes nobody else can be asked. */
 static void test_kill_of_the_only_peer(void)
 {
-	struct sim *sim = settled(2, 1, 2);
+	struct sim *sim = new_converged(2, 1, 2);
 
 	sim->nodes[1].down = true;
 	sim_until(sim, 1, MEM_DEAD, 1, DEAD_MS);
-	g_assert_cmpuint(sim_holding(sim, 1, MEM_DEAD), ==, 1);
+	g_assert_cmpuint(sim_count_state(sim, 1, MEM_DEAD), ==, 1);
 	sim_start(sim, 1, 5000000);
-	sim_settle(sim, DEAD_MS);
-	g_assert_cmpuint(sim_complete(sim), ==, 2);
+	sim_converge(sim, DEAD_MS);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 2);
 	sim_free(sim);
 }
 
 static void test_restart_supersedes(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->nodes[4].down = true;
 	sim_run(sim, 500);
 	sim_start(sim, 4, 5000000);
 	sim_run(sim, 5000);
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
 /* A VM whose clock lies behind that of the one it replaces. */
 static void test_restart_with_an_older_clock(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->nodes[4].down = true;
 	sim_until(sim, 4, MEM_DEAD, 15, DEAD_MS);
 	sim_start(sim, 4, 5);
-	sim_settle(sim, DEAD_MS);
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	sim_converge(sim, DEAD_MS);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
@@ -100,15 +101,15 @@
 
 static void test_one_way_cut_of_a_pair(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 	bool direct = true;
 
 	sim->lost = lose_one_to_two;
-	run_without_accusation(sim, 120000, 0);
+	run_without_suspicion(sim, 120000, 0);
 	g_assert_cmpint(sim_state(sim, 1, 2, &direct), ==, MEM_ALIVE);
 	g_assert_false(direct);
 	sim->lost = NULL;
-	run_without_accusation(sim, 2500, 0);
+	run_without_suspicion(sim, 2500, 0);
 	sim_state(sim, 1, 2, &direct);
 	g_assert_true(direct);
 	sim_free(sim);
@@ -122,10 +123,10 @@
 
 static void test_one_way_cut_between_domains(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
 	sim->lost = lose_domain_a_to_b;
-	run_without_accusation(sim, 180000, 0);
+	run_without_suspicion(sim, 180000, 0);
 	sim_free(sim);
 }
 
@@ -137,8 +138,9 @@
 }
 
 /* Accusations go to the accused only. */
-static void no_accusation(struct sim *sim, uint32_t from, uint32_t to,
-			  const struct mem_packet *packet)
+static void assert_accuses_receiver_only(struct sim *sim, uint32_t from,
+					 uint32_t to,
+					 const struct mem_packet *packet)
 {
 	for (guint i = 0; from == 0 && i < packet->updates->len; i++) {
 		const struct mem_update *u =
@@ -150,13 +152,13 @@
 }
 
 /* A node that hears nobody, but is heard: no other may be disturbed. */
-static void test_deaf_node_accuses_nobody_else(void)
+static void test_receive_loss_suspects_no_other(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->lost = lose_to_zero;
 	sim_run(sim, 1200); /* pings from before the cut */
-	sim->inspect = no_accusation;
+	sim->inspect = assert_accuses_receiver_only;
 	for (int i = 0; i < 600; i++) {
 		sim_run(sim, 100);
 		for (uint32_t k = 2; k < sim->count; k++)
@@ -166,8 +168,8 @@
 	g_assert_cmpuint(mem_core_alive(sim->nodes[0].core), ==, 1);
 	sim->inspect = NULL;
 	sim->lost = NULL;
-	sim_settle(sim, 20000);
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	sim_converge(sim, 20000);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
@@ -181,7 +183,7 @@
  * find each other again. */
 static void test_regions_apart_for_an_hour(void)
 {
-	struct sim *sim = settled(16, 2, 3);
+	struct sim *sim = new_converged(16, 2, 3);
 
 	sim->lost = lose_across_regions;
 	sim_run(sim, 60000);
@@ -200,25 +202,25 @@
 			g_assert_cmpuint(mem_core_alive(sim->nodes[i].core), >=,
 					 8);
 	}
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
 /* A stopped process is taken for dead; when it goes on it accuses nobody. */
-static void test_paused_node_accuses_nobody(void)
+static void test_paused_node_suspects_no_other(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->drop_waiting = true;
 	sim->nodes[3].paused = true;
 	sim_until(sim, 3, MEM_DEAD, 15, DEAD_MS);
 	sim_run(sim, 30000);
-	sim_wake(sim, 3);
+	sim_resume(sim, 3);
 	for (int i = 0; i < 200; i++) {
 		sim_run(sim, 100);
 		g_assert_cmpuint(mem_core_alive(sim->nodes[3].core), ==, 16);
 	}
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
@@ -233,9 +235,9 @@
 }
 
 /* Stopped in the middle of its pings, each time. */
-static void test_short_pauses_accuse_nobody(void)
+static void test_short_pauses_suspect_no_other(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	for (int i = 0; i < 50; i++) {
 		sim->drop_waiting = i % 2;
@@ -244,7 +246,7 @@
 			sim_step(sim);
 		sim->nodes[3].paused = true;
 		sim_run(sim, 1700 + i);
-		sim_wake(sim, 3);
+		sim_resume(sim, 3);
 		for (int k = 0; k < 10; k++) {
 			g_assert_cmpuint(mem_core_alive(sim->nodes[3].core), ==,
 					 16);
@@ -255,53 +257,54 @@
 }
 
 /* Silent for less time than a suspect has: nobody may take it for dead. */
-static void test_short_silence_is_not_death(void)
+static void test_short_pause_is_not_dead(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	for (int i = 0; i < 10; i++) {
 		sim->nodes[3].paused = true;
 		for (int k = 0; k < 35; k++) {
 			sim_run(sim, 100);
-			g_assert_cmpuint(sim_holding(sim, 3, MEM_DEAD), ==, 0);
+			g_assert_cmpuint(sim_count_state(sim, 3, MEM_DEAD), ==,
+					 0);
 		}
-		sim_wake(sim, 3);
+		sim_resume(sim, 3);
 		sim_run(sim, 3000);
-		g_assert_cmpuint(sim_complete(sim), ==, 16);
+		g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	}
 	sim_free(sim);
 }
 
 /* A node paused while it suspects another hears nothing of the denial. */
-static void test_suspects_outlive_a_pause(void)
+static void test_pause_extends_suspicion(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->drop_waiting = true;
 	sim->nodes[3].paused = true;
 	while (sim_state(sim, 1, 3, NULL) != MEM_SUSPECT)
 		sim_run(sim, 100);
 	sim->nodes[1].paused = true;
-	sim_wake(sim, 3);
+	sim_resume(sim, 3);
 	sim_run(sim, 10000);
-	sim_wake(sim, 1);
+	sim_resume(sim, 1);
 	for (int ms = 0; ms < 5000; ms++) {
 		sim_step(sim);
 		g_assert_cmpint(sim_state(sim, 1, 3, NULL), !=, MEM_DEAD);
 	}
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
-static void test_leaving_is_told_at_once(void)
+static void test_leaving_is_broadcast_at_once(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
 	mem_core_leave(sim->nodes[9].core);
 	sim_run(sim, LEAVING_MS);
-	g_assert_cmpuint(sim_holding(sim, 9, MEM_LEAVING), ==, 47);
+	g_assert_cmpuint(sim_count_state(sim, 9, MEM_LEAVING), ==, 47);
 	sim_run(sim, 20000);
-	g_assert_cmpuint(sim_holding(sim, 9, MEM_LEAVING), ==, 47);
+	g_assert_cmpuint(sim_count_state(sim, 9, MEM_LEAVING), ==, 47);
 	sim_free(sim);
 }
 
@@ -312,22 +315,23 @@
 	return sim_random(sim) % 100 < 5;
 }
 
-static void test_loss_kills_nobody(void)
+static void test_loss_declares_nobody_dead(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
 	sim->lost = lose_some;
 	for (int i = 0; i < 3000; i++) {
 		sim_run(sim, 100);
-		g_assert_cmpuint(sim_holding(sim, (uint32_t)i % 48, MEM_DEAD),
-				 ==, 0);
+		g_assert_cmpuint(
+			sim_count_state(sim, (uint32_t)i % 48, MEM_DEAD), ==,
+			0);
 	}
 	sim_free(sim);
 }
 
-static void test_config_is_everywhere_in_time(void)
+static void test_config_propagation_delay(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
 	for (uint64_t version = 1; version <= 20; version++) {
 		uint32_t first = (uint32_t)sim_random(sim) % 48;
@@ -342,9 +346,9 @@
 	sim_free(sim);
 }
 
-static void test_malformed_is_refused(void)
+static void test_malformed_is_rejected(void)
 {
-	struct sim *sim = settled(2, 1, 1);
+	struct sim *sim = new_converged(2, 1, 1);
 	uint8_t data[FS_DATAGRAM_MAX];
 
 	for (int i = 0; i < 20000; i++) {
@@ -357,15 +361,15 @@
 						 sim_us(sim)),
 				==, FS_E_PROTOCOL);
 	}
-	g_assert_cmpuint(sim_complete(sim), ==, 2);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 2);
 	sim_free(sim);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/mem/idle", test_idle_is_quiet);
-	g_test_add_func("/mem/kill", test_kill_is_seen_by_all);
+	g_test_add_func("/mem/idle", test_idle_has_no_suspicion);
+	g_test_add_func("/mem/kill", test_kill_is_detected_by_all);
 	g_test_add_func("/mem/kill_only_peer", test_kill_of_the_only_peer);
 	g_test_add_func("/mem/restart", test_restart_supersedes);
 	g_test_add_func("/mem/restart_old_clock",
@@ -373,16 +377,16 @@
 	g_test_add_func("/mem/one_way_pair", test_one_way_cut_of_a_pair);
 	g_test_add_func("/mem/one_way_domains",
 			test_one_way_cut_between_domains);
-	g_test_add_func("/mem/deaf", test_deaf_node_accuses_nobody_else);
+	g_test_add_func("/mem/deaf", test_receive_loss_suspects_no_other);
 	g_test_add_func("/mem/regions_apart", test_regions_apart_for_an_hour);
-	g_test_add_func("/mem/paused", test_paused_node_accuses_nobody);
-	g_test_add_func("/mem/paused_shortly", test_short_pauses_accuse_nobody);
-	g_test_add_func("/mem/short_silence", test_short_silence_is_not_death);
-	g_test_add_func("/mem/paused_suspecting",
-			test_suspects_outlive_a_pause);
-	g_test_add_func("/mem/leaving", test_leaving_is_told_at_once);
-	g_test_add_func("/mem/loss", test_loss_kills_nobody);
-	g_test_add_func("/mem/config", test_config_is_everywhere_in_time);
-	g_test_add_func("/mem/malformed", test_malformed_is_refused);
+	g_test_add_func("/mem/paused", test_paused_node_suspects_no_other);
+	g_test_add_func("/mem/paused_shortly",
+			test_short_pauses_suspect_no_other);
+	g_test_add_func("/mem/short_silence", test_short_pause_is_not_dead);
+	g_test_add_func("/mem/paused_suspecting", test_pause_extends_suspicion);
+	g_test_add_func("/mem/leaving", test_leaving_is_broadcast_at_once);
+	g_test_add_func("/mem/loss", test_loss_declares_nobody_dead);
+	g_test_add_func("/mem/config", test_config_propagation_delay);
+	g_test_add_func("/mem/malformed", test_malformed_is_rejected);
 	return g_test_run();
 }
