--- a/src/cnf.c
+++ b/src/cnf.c
@@ -52,7 +52,7 @@
 	uint64_t problems;
 	enum aud_rule rule;
 
-	/* What is in force already comes again and again; no decision. */
+	/* A repeat of the version in force or last rejected is not audited again. */
 	if (version == known || version == cnf->store.rejected_version)
 		return;
 	rule = cnf_store_offer(&cnf->store, version, text, &problems);
@@ -64,8 +64,8 @@
 			      "\"version\":%" G_GUINT64_FORMAT, version);
 }
 
-/* A node serves once it has the newest text that its live peers told of, or
- * has waited long enough for it. */
+/* A node is ready once it has the newest configuration reported by its alive
+ * peers, or any configuration after CNF_READY_TIMEOUT_US. */
 static void ready_tick(struct cnf *cnf, int64_t now_us)
 {
 	uint64_t newest;
--- a/src/cnf_leaving.c
+++ b/src/cnf_leaving.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define RECEIVER_RANKS 2 /* the dispatcher and its second choice */
+#define RECEIVER_RANKS 2 /* the dispatcher and its standby */
 
 /** The list of one poller. */
 struct poller {
@@ -67,7 +67,7 @@
 				g_strdup(g_ptr_array_index(servers, i)));
 }
 
-/* Drops lists that are older than the newest one by more than the lapse. */
+/* Drops lists more than CNF_LIST_EXPIRY_US older than the newest one. */
 static void drop_expired(struct cnf_leaving *leaving, int64_t now_us)
 {
 	int64_t newest_us = 0;
--- a/src/cnf_leaving.h
+++ b/src/cnf_leaving.h
@@ -1,12 +1,12 @@
 /**
  * @file cnf_leaving.h
- * @brief Which targets are leaving, as told by the pollers of the VM list.
+ * @brief Leaving targets, as reported by the pollers of the VM list.
  *
- * A poller tells each dispatcher the leaving servers of its shards. Pollers
- * may lag behind each other, so that a dispatcher's node keeps one list per
- * poller and goes by their union. The list of a poller that fell silent is
- * dropped only once another poller has been heard for CNF_LIST_EXPIRY_US: with
- * the platform away the last lists stand.
+ * A poller sends each dispatcher the leaving servers of its shards. Pollers may
+ * lag behind each other, so a dispatcher's node keeps one list per poller and
+ * uses their union. A list expires once it is more than CNF_LIST_EXPIRY_US older
+ * than the newest list of any poller: during an outage of the platform the last
+ * lists stay valid.
  */
 #ifndef CNF_LEAVING_H
 #define CNF_LEAVING_H
@@ -21,22 +21,22 @@
 struct cnf_leaving *cnf_leaving_new(void);
 void cnf_leaving_free(struct cnf_leaving *leaving);
 
-/** Takes the complete list of one poller; @p servers holds names. */
+/** Replaces the list of one poller; @p servers contains names. */
 void cnf_leaving_update(struct cnf_leaving *leaving, node_id poller,
 			const GPtrArray *servers, int64_t now_us);
 
-/** Returns the names of all servers told as leaving, sorted. */
+/** Returns the sorted names of all servers reported as leaving. */
 GPtrArray *cnf_leaving_union(struct cnf_leaving *leaving, int64_t now_us);
 
 /**
- * Returns the names of the servers in @p cfg that the VM list calls leaving,
- * found by name or by address.
+ * Returns the sorted names of the servers in @p cfg that are leaving in the VM
+ * list, matched by name or else by address.
  */
 GPtrArray *cnf_leaving_servers(const struct cfg *cfg, const struct plt_vm *vms,
 			       uint32_t count);
 
 /**
- * Splits names by the nodes to be told: the first two choices of each shard.
+ * Groups names by receiver: the dispatcher of each shard and its standby.
  * @return node_id * to GPtrArray of names, both owned
  */
 GHashTable *cnf_leaving_receivers(const struct cfg *cfg,
--- a/src/cnf_platform.c
+++ b/src/cnf_platform.c
@@ -61,7 +61,7 @@
 		cnf_broadcast_set_vms(cnf, vms, count);
 }
 
-/* Watchers wait for changes; any other node reads once at its start. */
+/* Watchers long-poll for changes; other nodes read once at their start. */
 static void read_tick(struct cnf *cnf, int64_t now_us)
 {
 	struct cnf_call *call = &cnf->read;
--- a/src/cnf_priv.h
+++ b/src/cnf_priv.h
@@ -1,6 +1,6 @@
 /**
  * @file cnf_priv.h
- * @brief Shared by the files that make up the configuration task.
+ * @brief Internal interface of the configuration task.
  */
 #ifndef CNF_PRIV_H
 #define CNF_PRIV_H
@@ -14,17 +14,17 @@
 #define CNF_WATCH_WAIT_US (2 * FS_US_PER_S) /* one long poll */
 #define CNF_RETRY_MIN_US 250000
 #define CNF_RETRY_MAX_US (2 * FS_US_PER_S)
-#define CNF_REQUEST_TIMEOUT_US FS_US_PER_S /* then another member is asked */
-#define CNF_READY_TIMEOUT_US (5 * FS_US_PER_S) /* for the newest of the peers */
+#define CNF_REQUEST_TIMEOUT_US FS_US_PER_S     /* then another member */
+#define CNF_READY_TIMEOUT_US (5 * FS_US_PER_S) /* for the peers' newest */
 #define CNF_LEAVING_REFRESH_US \
-	(3 * FS_US_PER_S)	 /* leaving targets are told again */
-#define CNF_EMPTY_LIST_REPEATS 3 /* an empty list is told this often */
+	(3 * FS_US_PER_S)	 /* resend interval of the lists */
+#define CNF_EMPTY_LIST_REPEATS 3 /* transmissions of an empty list */
 
-/** A kind of call to the platform that is repeated for as long as needed. */
+/** A repeated call to the platform, with backoff after failures. */
 struct cnf_call {
 	bool running;
-	bool answered;	   /* at least once since the start */
-	uint32_t failures; /* in a row */
+	bool answered;	   /* at least one success since the start */
+	uint32_t failures; /* consecutive */
 	int64_t next_us;
 };
 
@@ -47,15 +47,15 @@
 	uint64_t requested_version;
 	int64_t requested_us;
 	/* Leaving targets */
-	GArray *leaving_vms; /* struct plt_vm: leaving targets of the VM list */
+	GArray *leaving_vms; /* struct plt_vm: leaving targets of the list */
 	bool leaving_vms_known;
-	GHashTable *notified; /* node_id * to empties still to be sent */
+	GHashTable *notified; /* node_id * to remaining empty lists */
 	int64_t last_broadcast_us;
 	bool broadcast_due;
 	struct cnf_leaving *leaving;
 };
 
-/** Offers a text to the store and acts on the result. */
+/** Offers a configuration to the store; audits and publishes the result. */
 void cnf_offer(struct cnf *cnf, uint64_t version, const char *text,
 	       int64_t now_us);
 
@@ -65,7 +65,7 @@
 
 /* Platform: cnf_platform.c */
 void cnf_platform_tick(struct cnf *cnf, int64_t now_us);
-/** Returns whether this node is among those that watch for its region. */
+/** Returns whether this node is one of the watchers of its region. */
 bool cnf_is_watcher(const struct cnf *cnf);
 
 /* Peers: cnf_peers.c */
@@ -73,7 +73,7 @@
 void cnf_peers_hint(struct cnf *cnf, node_id id, uint64_t version,
 		    int64_t now_us);
 void cnf_peers_answer_request(struct cnf *cnf, const struct msg *m);
-/** Returns the highest version that live members told of. */
+/** Returns the highest version that alive peers reported, and its node. */
 uint64_t cnf_peers_newest(const struct cnf *cnf, node_id *id);
 
 /* Leaving targets: cnf_tell.c */
--- a/src/cnf_store.h
+++ b/src/cnf_store.h
@@ -1,11 +1,11 @@
 /**
  * @file cnf_store.h
- * @brief The configuration in force on one node, and whether to take another.
+ * @brief The configuration in force on one node, and validation of new ones.
  *
- * Texts come from the platform and from peers, in any order and any number of
- * times. One is taken only if its version is higher than that in force and it
- * passes all checks, so that versions never go back. A refused text leaves
- * the old one in force. All functions are pure.
+ * Configurations arrive from the platform and from peers, in any order, with
+ * repeats. One is accepted only if its version is higher than that in force and
+ * it passes all checks, so that versions are monotonic. A rejected one leaves
+ * the old one in force. The functions do no I/O and depend on no clock.
  */
 #ifndef CNF_STORE_H
 #define CNF_STORE_H
@@ -13,11 +13,11 @@
 #include "aud.h"
 #include "cfg.h"
 
-/** What a node knows of configurations. */
+/** Configuration state of a node. */
 struct cnf_store {
 	struct cfg *cfg;	   /* in force, or NULL */
-	uint64_t rejected_version; /* last version whose text was refused, or 0 */
-	char *problem;		   /* why, or NULL */
+	uint64_t rejected_version; /* last rejected version, or 0 */
+	char *problem;		   /* reason of the rejection, or NULL */
 };
 
 /** The value under the key "config" of the platform. */
@@ -31,27 +31,27 @@
 /** Returns the version in force, 0 if there is none. */
 uint64_t cnf_store_version(const struct cnf_store *store);
 
-/** Returns whether the text of @p version is worth asking for. */
+/** Returns whether @p version is newer than that in force and not rejected. */
 bool cnf_store_should_fetch(const struct cnf_store *store, uint64_t version);
 
 /**
- * Decides on one version; the audit calls it again.
- * @param problems  findings in the text; 0 if it was not looked at
+ * Decides on one version; the audit replays this decision.
+ * @param problems  number of findings; 0 if the text was not checked
  * @return AUD_R_CONFIG_TAKEN, AUD_R_CONFIG_OLD or AUD_R_CONFIG_BAD
  */
 enum aud_rule cnf_decide(uint64_t version, uint64_t known, uint64_t problems);
 
 /**
- * Takes or refuses a text.
- * @param problems  out: how many findings the text has
- * @return the rule that decided
+ * Accepts or rejects a configuration.
+ * @param problems  out: number of findings in the text
+ * @return the rule that was applied
  */
 enum aud_rule cnf_store_offer(struct cnf_store *store, uint64_t version,
 			      const char *text, uint64_t *problems);
 
 /**
  * Parses {"version":n,"change_id":"...","by":"...","text":"..."}.
- * @param out  out: its text is owned by the caller
+ * @param out  out: the caller frees its text
  * @return 0 or FS_E_PROTOCOL
  */
 int cnf_value_parse(const char *json, struct cnf_value *out);
--- a/src/cnf_tell.c
+++ b/src/cnf_tell.c
@@ -1,7 +1,7 @@
 #include "cnf_priv.h"
 #include "set.h"
 
-/* Tells the membership task where entry VMs may be found. */
+/* Sends the addresses of the entry VMs to the membership task. */
 static void notify_contacts(struct cnf *cnf, const struct plt_vm *vms,
 			    uint32_t count)
 {
@@ -67,7 +67,8 @@
 	bus_send(cnf->node->bus, m);
 }
 
-/* Notes who was told names; who no longer is gets empty lists for a while. */
+/* Records the receivers of this broadcast. A former receiver gets an empty list
+ * in each of the next CNF_EMPTY_LIST_REPEATS broadcasts. */
 static void track_receivers(struct cnf *cnf, GHashTable *receivers)
 {
 	GHashTableIter iter;
--- a/src/mem.c
+++ b/src/mem.c
@@ -13,8 +13,8 @@
 G_STATIC_ASSERT(SIG_SIZE == MEM_SIGNATURE_SIZE);
 G_STATIC_ASSERT(MEM_TICK_US == NODE_TICK_US);
 
-#define RECEIVE_BURST 256	     /* datagrams of one turn of the loop */
-#define RECEIVE_BUFFER (1024 * 1024) /* bytes, holds a burst of joins */
+#define RECEIVE_BURST 256	     /* datagrams per event-loop iteration */
+#define RECEIVE_BUFFER (1024 * 1024) /* bytes, absorbs a burst of joins */
 
 /** The membership task. */
 struct mem {
@@ -23,7 +23,7 @@
 	int fd;
 	ev_io io;
 	ev_timer start;
-	struct mem_view *view; /* the last one told */
+	struct mem_view *view; /* last one published */
 	handle sent, sent_bytes, received, received_bytes, refused;
 };
 
@@ -39,12 +39,12 @@
 	size += SIG_SIZE;
 	if (sendto(mem->fd, out, size, 0, (const struct sockaddr *)to,
 		   sizeof(*to)) < 0)
-		return; /* lost, as datagrams may be */
+		return; /* same as a lost datagram */
 	ctr_add(mem->node->ctr, mem->sent, 1);
 	ctr_add(mem->node->ctr, mem->sent_bytes, size);
 }
 
-/* Tells the configuration task of a member with a newer version. */
+/* Notifies the configuration task of a member with a newer version. */
 static void notify_config_hint(struct mem *mem)
 {
 	uint64_t version;
@@ -127,7 +127,7 @@
 	return self;
 }
 
-/* The addresses of all tasks are bound once the loop runs. */
+/* Runs in the first loop iteration, when all tasks have bound their addresses. */
 static void on_start(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct mem *mem = timer->data;
--- a/src/mem_check.c
+++ b/src/mem_check.c
@@ -2,10 +2,11 @@
 
 #include "mem_core_priv.h"
 
-#define SUSPICION_BASE_LOG2 6 /* up to 64 members the period does not grow */
-#define DIRECT_FAILURES_MAX \
-	2	     /* own pings in a row before the path is at fault */
-#define FAR_RELAYS 2 /* of them in failure domains of neither end */
+/* The suspicion timeout grows with the logarithm of the member count, above
+ * 64 members. */
+#define SUSPICION_BASE_LOG2 6
+#define DIRECT_FAILURES_MAX 2 /* in a row: no direct path */
+#define FAR_RELAYS 2	      /* relays in a third failure domain */
 
 int64_t mem_suspicion_timeout_us(const struct mem_core *core)
 {
@@ -63,7 +64,7 @@
 	g_array_insert_val(core->ring, position, node->m.id);
 }
 
-/* Returns the next present member of the round; dead ones are dropped. */
+/* Returns the next present member and removes dead ones from the ring. */
 static struct mem_node *next_in_ring(struct mem_core *core)
 {
 	bool restarted = false;
@@ -107,7 +108,7 @@
 	return NULL;
 }
 
-/* Sends a request to ping @p target to a member not yet asked. */
+/* Sends a PING_REQ on @p target to an alive member that is not in @p relays. */
 static bool send_ping_req(struct mem_core *core, const struct mem_check *check,
 			  const struct mem_node *target, bool far,
 			  GArray *relays)
@@ -140,8 +141,8 @@
 	return false;
 }
 
-/* A cut often concerns a failure domain, so that most helpers are chosen in
- * domains of neither end. */
+/* A partition often affects a whole failure domain: FAR_RELAYS of the relays are
+ * preferably outside the domains of this node and of the target. */
 static void send_ping_reqs(struct mem_core *core, struct mem_check *check,
 			   const struct mem_node *target)
 {
@@ -163,7 +164,8 @@
 	core->changed = true;
 }
 
-/* Own pings failed. Others hear the member, or nobody does. */
+/* Handles a check without a direct ack; without an indirect one either, the
+ * member becomes suspect. */
 static void fail_check(struct mem_core *core, struct mem_check *check,
 		       struct mem_node *node, int64_t now_us)
 {
@@ -176,8 +178,8 @@
 	check->target = 0;
 }
 
-/* Without any datagram from others since the ping, the fault may be here:
- * the judgement waits until this node has been deaf for a while. */
+/* If no datagram arrived since the ping, the fault may be local: the check then
+ * stays open until MEM_RX_TIMEOUT_US after the ping. */
 static bool may_conclude(const struct mem_core *core,
 			 const struct mem_check *check, int64_t now_us)
 {
@@ -248,7 +250,7 @@
 	core->next_ping_us = now_us + FS_GOSSIP_PERIOD_US;
 }
 
-/* Passes an answer on to the member that asked for the ping. */
+/* Forwards an ack to the member that requested the ping. */
 static void forward_ack(struct mem_core *core, const struct mem_packet *packet,
 			int64_t now_us)
 {
--- a/src/mem_core.c
+++ b/src/mem_core.c
@@ -4,7 +4,7 @@
 
 #include "mem_core_priv.h"
 
-#define PULL_MAX 60 /* members asked for in one datagram */
+#define PULL_MAX 60 /* members per datagram */
 #define CONTACTS_MAX FS_NODES_MAX
 
 uint64_t mem_random(struct mem_core *core)
@@ -168,7 +168,7 @@
 	}
 }
 
-/* Merges what the sender tells of itself and of others. */
+/* Merges the updates and the header, and pulls the full updates it lacks. */
 static void merge_updates(struct mem_core *core,
 			  const struct mem_packet *packet, int64_t now_us)
 {
--- a/src/mem_core.h
+++ b/src/mem_core.h
@@ -2,17 +2,20 @@
  * @file mem_core.h
  * @brief State machine of the membership protocol, without sockets or clock.
  *
- * Each period a node pings one member, in a shuffled round. A member that
- * does not answer is pinged through others in other failure domains; if they
- * hear it, it lives and only the path is at fault (direct = false). If nobody
- * does, it is suspect, and dead unless it denies that in time with a higher
- * refutation number. Updates ride on all datagrams a bounded number of times;
- * new ones are also pushed at once. Nodes whose digests differ compare their
- * tables. Dead members and unknown seeds are contacted again from time to
- * time, so that a partition heals by itself.
+ * SWIM-style failure detection. Each period a node pings one member, in
+ * shuffled round-robin order. A member that does not answer is pinged
+ * indirectly, through relays in other failure domains; if a relay receives an
+ * ack, the member is alive and only the network path is at fault
+ * (direct = false). Otherwise it is suspect, and is declared dead unless it
+ * refutes that before the suspicion timeout with a higher refutation number.
+ * Updates are piggybacked on all datagrams a bounded number of times; new ones
+ * are also pushed at once. Nodes whose digests differ compare their tables
+ * (anti-entropy). Dead members and unknown seeds are contacted periodically,
+ * so that a partition heals without an operator.
  *
- * A node that hears nobody accuses others only to itself. A node that was
- * paused grants everybody a fresh period before it judges.
+ * A node that receives nothing from any member sends its suspicions only to
+ * the suspects. A node that was paused restarts all suspicion timeouts before
+ * it declares anyone dead.
  */
 #ifndef MEM_CORE_H
 #define MEM_CORE_H
@@ -28,52 +31,52 @@
 			    const uint8_t *data, size_t size);
 
 /**
- * Makes the state of one node.
- * @param self  the node: name, place, addresses, incarnation
- * @param seed  of its random choices
+ * Creates the state of one node.
+ * @param self  name, region, failure domain, addresses, incarnation
+ * @param seed  of the pseudo-random generator
  */
 struct mem_core *mem_core_new(const struct mem_member *self, uint64_t seed,
 			      mem_send_fn send, void *arg);
 void mem_core_free(struct mem_core *core);
 
-/** Names an address where a member may always be looked for. */
+/** Adds a seed address, contacted while no present member has it. */
 void mem_core_add_seed(struct mem_core *core,
 		       const struct sockaddr_in *address);
 
-/** Names the addresses of the VM list, in place of those named before. */
+/** Replaces the contact addresses that come from the VM list. */
 void mem_core_set_listed(struct mem_core *core,
 			 const struct sockaddr_in *addresses, uint32_t count);
 
-/** Does what is due; to be called every MEM_TICK_US. */
+/** Runs the timers; called every MEM_TICK_US. */
 void mem_core_tick(struct mem_core *core, int64_t now_us);
 
-/** Takes one datagram, without its signature. @return 0 or FS_E_PROTOCOL */
+/** Processes one datagram without its signature. @return 0 or FS_E_PROTOCOL */
 int mem_core_receive(struct mem_core *core, const uint8_t *data, size_t size,
 		     int64_t now_us);
 
 /** Announces that this node is leaving. */
 void mem_core_leave(struct mem_core *core);
 
-/** Sets the configuration version of this node and tells a few members. */
+/** Sets the configuration version of this node and pushes it to a few members. */
 void mem_core_set_config(struct mem_core *core, uint64_t version,
 			 int64_t now_us);
 
-/** Returns whether membership changed since the last view was made. */
+/** Returns whether membership changed since the last mem_core_view(). */
 bool mem_core_changed(const struct mem_core *core);
 
-/** Makes a view of the members; they count as unchanged from then on. */
+/** Creates a view of the members and clears the changed flag. */
 struct mem_view *mem_core_view(struct mem_core *core);
 
-/** Makes a view for a look, without a serial number. */
+/** Creates a view with serial 0 and leaves the changed flag as it is. */
 struct mem_view *mem_core_peek(const struct mem_core *core);
 
 /**
- * Returns a member whose configuration version is higher than this node's,
- * heard of since the last call, or 0.
+ * Returns a member that reported a higher configuration version than this
+ * node's since the last call, or 0.
  */
 node_id mem_core_pop_hint(struct mem_core *core, uint64_t *version);
 
-/** Returns how many members are alive, this node included. */
+/** Returns the number of alive members, this node included. */
 uint32_t mem_core_alive(const struct mem_core *core);
 
 #endif
--- a/src/mem_core_priv.h
+++ b/src/mem_core_priv.h
@@ -1,6 +1,6 @@
 /**
  * @file mem_core_priv.h
- * @brief Shared by the files that make up the membership's state machine.
+ * @brief Internal interface of the membership state machine.
  */
 #ifndef MEM_CORE_PRIV_H
 #define MEM_CORE_PRIV_H
@@ -8,34 +8,35 @@
 #include "mem_core.h"
 #include "mem_table.h"
 
-#define MEM_PAUSE_MIN_US (10 * MEM_TICK_US) /* a longer gap between two ticks */
+#define MEM_PAUSE_MIN_US \
+	(10 * MEM_TICK_US) /* a longer gap between ticks is a pause */
 #define MEM_INDIRECT_TIMEOUT_US \
-	(2 * FS_GOSSIP_ACK_US) /* after the direct wait */
+	(2 * FS_GOSSIP_ACK_US) /* after FS_GOSSIP_ACK_US */
 #define MEM_RX_TIMEOUT_US (3 * FS_GOSSIP_PERIOD_US)
 #define MEM_CHECKS_MAX 16
 #define MEM_RELAYS_MAX 64
 #define MEM_RELAY_TIMEOUT_US (2 * FS_GOSSIP_ACK_US)
 #define MEM_CONTACT_PERIOD_ALONE_US 500000
 #define MEM_CONTACT_PERIOD_US 5000000
-#define MEM_SYNC_INTERVAL_MIN_US 5000000 /* between two comparisons of tables */
-#define MEM_SYNC_SETTLE_US 3000000	 /* without changes before one */
-#define MEM_DEAD_RETENTION_US (7200 * FS_US_PER_S) /* dead members are kept */
+#define MEM_SYNC_INTERVAL_MIN_US 5000000 /* between two table comparisons */
+#define MEM_SYNC_SETTLE_US 3000000	 /* without state changes before one */
+#define MEM_DEAD_RETENTION_US (7200 * FS_US_PER_S) /* of dead members */
 #define MEM_PUSH_FANOUT 3
 #define MEM_PUSH_BURST 10
 #define MEM_PUSH_REFILL_US 200000
 #define MEM_LEAVE_FANOUT 8
 #define MEM_LEAVE_REPEATS 3
 
-/** A ping that waits for its answer. */
+/** A ping whose ack is outstanding. */
 struct mem_check {
 	node_id target; /* 0: not in use */
 	uint32_t sequence;
 	int64_t sent_us;
-	bool indirect; /* others were asked */
-	bool relayed;  /* others heard it */
+	bool indirect; /* ping requests were sent to relays */
+	bool relayed;  /* a relay received an ack */
 };
 
-/** A ping sent for another member. */
+/** A ping sent on behalf of another member. */
 struct mem_relay {
 	node_id target; /* 0: not in use */
 	uint32_t sequence;
@@ -62,15 +63,15 @@
 	int64_t next_ping_us;
 	struct mem_check checks[MEM_CHECKS_MAX];
 	struct mem_relay relays[MEM_RELAYS_MAX];
-	/* Updates to be sent */
-	GPtrArray *pending; /* struct mem_node with transmits_left */
-	bool push_due;	    /* new updates are to be pushed */
+	/* Updates to piggyback */
+	GPtrArray *pending; /* struct mem_node with transmits_left > 0 */
+	bool push_due;	    /* new updates wait for a push */
 	uint32_t push_tokens;
 	int64_t push_refilled_us;
 	uint32_t leave_repeats;
 	/* Contacts */
 	GArray *contacts;    /* struct sockaddr_in, seeds first */
-	guint contact_seeds; /* how many of them are seeds */
+	guint contact_seeds; /* number of seeds among them */
 	int64_t next_contact_us;
 	int64_t next_sync_us;
 	/* Configuration */
@@ -87,23 +88,23 @@
 
 /* Sending: mem_send.c */
 
-/** Starts a packet from this node. */
+/** Initializes a packet with the header of this node. */
 void mem_send_begin(struct mem_core *core, struct mem_packet *packet,
 		    enum mem_type type);
-/** Adds pending updates, sends the packet and clears it. */
+/** Piggybacks pending updates, sends the packet and clears it. */
 void mem_send_end(struct mem_core *core, struct mem_packet *packet,
 		  const struct sockaddr_in *to);
 /** Sends a packet without pending updates and clears it. */
 void mem_send_bare(struct mem_core *core, struct mem_packet *packet,
 		   const struct sockaddr_in *to);
-/** Pings a member; if it is held dead or suspect it is told so. */
+/** Pings a member; a dead or suspect one gets that state in it, to refute. */
 void mem_send_ping(struct mem_core *core, struct mem_node *node,
 		   uint32_t sequence);
-/** Marks a member's update as one to be sent to others. */
+/** Queues a member's update for dissemination. */
 void mem_send_enqueue(struct mem_core *core, struct mem_node *node, bool full);
-/** Tells many members at once that this node is leaving. */
+/** Sends the leaving state to MEM_LEAVE_FANOUT random members at once. */
 void mem_send_leaving(struct mem_core *core);
-/** Pushes new updates to a few members, within a bounded rate. */
+/** Pushes new updates to MEM_PUSH_FANOUT random members, rate-limited. */
 void mem_send_pushes(struct mem_core *core, int64_t now_us);
 
 /* Checks: mem_check.c */
@@ -113,27 +114,27 @@
 void mem_check_receive_ping_req(struct mem_core *core,
 				const struct mem_packet *packet,
 				int64_t now_us);
-/** Forgets all pings under way and grants suspects a fresh period. */
+/** Drops all outstanding pings and restarts the suspicion timeouts. */
 void mem_check_reset(struct mem_core *core, int64_t now_us);
-/** Returns how long a suspect has to deny it. */
+/** Returns the time within which a suspect has to refute. */
 int64_t mem_suspicion_timeout_us(const struct mem_core *core);
 
-/** Gives a member its turn in the round of pings. */
+/** Inserts a member at a random position of the ping ring. */
 void mem_check_enroll(struct mem_core *core, struct mem_node *node);
 
 /* Updates: mem_merge.c */
 
-/** Takes an update; returns whether more on this member is to be pulled. */
+/** Merges an update; returns whether the full one has to be pulled. */
 bool mem_merge(struct mem_core *core, const struct mem_update *update,
 	       int64_t now_us);
-/** Changes the state of a member, by this node's own judgement. */
+/** Sets a state that this node's own failure detector found. */
 void mem_declare_state(struct mem_core *core, struct mem_node *node,
 		       enum mem_state state, int64_t now_us);
 
-/** Drops a member with all that refers to it. */
+/** Removes a member and the references to it. */
 void mem_drop(struct mem_core *core, struct mem_node *node);
 
-/* Comparing tables: mem_sync.c */
+/* Anti-entropy and contacts: mem_sync.c */
 void mem_sync_tick(struct mem_core *core, int64_t now_us);
 void mem_sync_on_mismatch(struct mem_core *core, const struct sockaddr_in *to,
 			  int64_t now_us);
--- a/src/mem_merge.c
+++ b/src/mem_merge.c
@@ -1,6 +1,6 @@
 #include "mem_core_priv.h"
 
-#define SUSPECT_PINGS_MEAN 4 /* nodes that ask a suspect at once, on average */
+#define SUSPECT_PINGS_MEAN 4 /* mean number of nodes that ping a new suspect */
 
 static void set_state(struct mem_core *core, struct mem_node *node,
 		      enum mem_state state, int64_t now_us)
@@ -34,8 +34,8 @@
 		mem_send_enqueue(core, node, false);
 }
 
-/* Denies that this node is suspect or dead. A process that replaced one with
- * a later clock goes past the incarnation of its predecessor. */
+/* Refutes that this node is suspect or dead. If the clock of the predecessor
+ * process was ahead, this node takes an incarnation above the predecessor's. */
 static void merge_self(struct mem_core *core, const struct mem_update *update)
 {
 	struct mem_node *self = core->self;
@@ -96,7 +96,7 @@
 	core->table.digest_stale = true;
 }
 
-/* A few nodes ask a member at once that others call suspect. */
+/* Pings a member that was reported as suspect, on a random few nodes only. */
 static void ping_suspect(struct mem_core *core, struct mem_node *node)
 {
 	if (mem_random_below(core, core->table.present) < SUSPECT_PINGS_MEAN)
--- a/src/mem_send.c
+++ b/src/mem_send.c
@@ -1,6 +1,6 @@
 #include "mem_core_priv.h"
 
-#define HEADER_SIZE 88 /* bytes of a packet without updates, at most */
+#define HEADER_SIZE 88 /* upper bound for a packet without updates, in bytes */
 
 void mem_send_begin(struct mem_core *core, struct mem_packet *packet,
 		    enum mem_type type)
@@ -36,7 +36,7 @@
 	return x->m.id < y->m.id ? -1 : x->m.id > y->m.id;
 }
 
-/* Adds the updates that were sent least so far, as many as fit. */
+/* Adds the updates with the fewest transmissions first, as many as fit. */
 static void piggyback_updates(struct mem_core *core, struct mem_packet *packet)
 {
 	size_t size = HEADER_SIZE;
@@ -87,7 +87,7 @@
 	mem_send_end(core, &packet, &node->m.peer);
 }
 
-/* Three times the binary logarithm of the number of members. */
+/* Three times the bit length of the member count: O(log n) transmissions. */
 static uint32_t transmit_limit(uint32_t members)
 {
 	return 3 * (32 - (uint32_t)__builtin_clz(members + 1));
--- a/src/mem_sync.c
+++ b/src/mem_sync.c
@@ -2,8 +2,8 @@
 
 #define CONTACTS_AT_ONCE 3
 #define RECONTACTS_AT_ONCE 2
-#define SYNC_ENTRIES_MAX 48 /* compact updates of one datagram */
-#define FULL_BYTES_MAX 1200 /* of full updates in one datagram */
+#define SYNC_ENTRIES_MAX 48 /* compact updates per datagram */
+#define FULL_BYTES_MAX 1200 /* of full updates per datagram */
 
 static int compare_nodes(gconstpointer a, gconstpointer b)
 {
@@ -13,7 +13,7 @@
 	return x->m.id < y->m.id ? -1 : x->m.id > y->m.id;
 }
 
-/* Returns the present members in the order of their ids. */
+/* Returns the present members sorted by id. */
 static GPtrArray *present_nodes(const struct mem_core *core)
 {
 	GPtrArray *nodes = g_ptr_array_new();
@@ -28,7 +28,8 @@
 	return nodes;
 }
 
-/* Tells who this node is, and asks for all that the other one knows. */
+/* Announces this node with a SYNC of the whole id range: the receiver replies
+ * with all other members it has. */
 static void send_join(struct mem_core *core, const struct sockaddr_in *to)
 {
 	struct mem_update self = mem_node_update(core->self, true);
@@ -41,7 +42,7 @@
 	mem_send_bare(core, &packet, to);
 }
 
-/* Sends the whole table in compact form; the ranges leave no gap. */
+/* Sends the complete table in compact form; the id ranges are contiguous. */
 static void send_table(struct mem_core *core, const struct sockaddr_in *to)
 {
 	g_autoptr(GPtrArray) nodes = present_nodes(core);
@@ -69,7 +70,7 @@
 	}
 }
 
-/** Full updates on their way to one member. */
+/** Full updates collected for one receiver. */
 struct batch {
 	struct mem_packet packet;
 	size_t size;
@@ -97,8 +98,8 @@
 	g_array_append_val(batch->packet.updates, update);
 }
 
-/* Sends what the other one lacks of the range, or knows an older state of.
- * What this node lacks was pulled when the updates were merged. */
+/* Sends full updates on the members in the range that the sender lacks or has
+ * an older state of. Members that this node lacks were pulled in the merge. */
 void mem_sync_receive(struct mem_core *core, const struct mem_packet *packet)
 {
 	g_autoptr(GPtrArray) nodes = present_nodes(core);
@@ -185,8 +186,8 @@
 	}
 }
 
-/* Pings up to @p limit dead members; those held alive elsewhere only, if
- * @p reported_only. */
+/* Pings up to @p limit dead members; if @p reported_only, just those that another
+ * node reported as not dead. */
 static void contact_dead(struct mem_core *core, guint limit, bool reported_only)
 {
 	guint n = core->table.nodes->len;
--- a/src/mem_table.h
+++ b/src/mem_table.h
@@ -1,6 +1,6 @@
 /**
  * @file mem_table.h
- * @brief Table of all members that a node knows, the dead ones included.
+ * @brief Table of all members known to a node, including dead ones.
  *
  * A present member is one that is not dead.
  *
@@ -11,18 +11,18 @@
 
 #include "mem_wire.h"
 
-/** One member and what the protocol keeps of it. */
+/** One member and its protocol state. */
 struct mem_node {
 	struct mem_member m;
 	uint32_t refutation;
-	uint32_t transmits_left; /* datagrams that still carry its update */
-	bool send_full;		 /* the update is sent in full */
+	uint32_t transmits_left; /* remaining transmissions of its update */
+	bool send_full;		 /* its update is sent in full */
 	int64_t suspect_until_us;
 	int64_t dead_since_us;
-	uint32_t direct_failures; /* own pings in a row without an answer */
-	bool recheck;		  /* to be pinged again soon */
-	bool recontact;		  /* dead, but another node holds it alive */
-	bool in_ring;		  /* has its turn in the round of pings */
+	uint32_t direct_failures; /* consecutive direct pings without an ack */
+	bool recheck;		  /* pinged again in one of the next periods */
+	bool recontact; /* dead here, reported as not dead by another node */
+	bool in_ring;	/* is in the ping ring */
 };
 
 struct mem_table {
@@ -44,18 +44,18 @@
 struct mem_node *mem_table_add(struct mem_table *table,
 			       const struct mem_member *member);
 
-/** Returns the member that has been dead for longest, or NULL. */
+/** Returns the dead member with the earliest time of death, or NULL. */
 struct mem_node *mem_table_longest_dead(const struct mem_table *table);
 
 void mem_table_remove(struct mem_table *table, struct mem_node *node);
 
-/** Counts anew what the table holds; after any change of a state. */
+/** Recomputes the counters; called after each state change. */
 void mem_table_recount(struct mem_table *table);
 
 /** Returns the digest of the present members and their incarnations. */
 uint64_t mem_table_digest(struct mem_table *table);
 
-/** Returns what is known of a member as an update. */
+/** Returns the state of a member as an update. */
 struct mem_update mem_node_update(const struct mem_node *node, bool full);
 
 static inline bool mem_node_present(const struct mem_node *node)
@@ -63,7 +63,7 @@
 	return node->m.state != MEM_DEAD;
 }
 
-/** Makes a view of all members. */
+/** Creates a view of all members. */
 struct mem_view *mem_table_view(const struct mem_table *table, node_id self,
 				uint64_t serial);
 
--- a/src/mem_wire.c
+++ b/src/mem_wire.c
@@ -9,8 +9,8 @@
 #define COMPACT_FIELDS 4
 #define FULL_FIELDS 11
 #define ADDRESS_SIZE 6
-#define COMPACT_SIZE 26 /* bytes of a compact update, at most */
-#define FULL_EXTRA 42	/* bytes of a full update besides texts */
+#define COMPACT_SIZE 26 /* upper bound for a compact update, in bytes */
+#define FULL_EXTRA 42	/* more bytes of a full update, without strings */
 #define WIRE_VERSION 1
 
 void mem_packet_init(struct mem_packet *packet, enum mem_type type)
@@ -128,7 +128,7 @@
 						struct mem_update, i));
 }
 
-/** Reads the fields of one array in order; sticks at the first error. */
+/** Reads the fields of one array in order; an error is sticky. */
 struct reader {
 	const msgpack_object *next;
 	const msgpack_object *end;
@@ -271,7 +271,7 @@
 
 	mem_packet_init(packet, MEM_PING);
 	msgpack_unpacked_init(&unpacked);
-	/* The library allocates for any array size that is claimed. */
+	/* msgpack allocates for the declared array size, so msg_scan() checks it. */
 	if (size <= MEM_PAYLOAD_MAX && msg_scan(data, size) &&
 	    msgpack_unpack_next(&unpacked, (const char *)data, size, &offset) ==
 		    MSGPACK_UNPACK_SUCCESS &&
--- a/src/mem_wire.h
+++ b/src/mem_wire.h
@@ -2,11 +2,12 @@
  * @file mem_wire.h
  * @brief Datagrams of the membership protocol, encoded with msgpack.
  *
- * A datagram names its sender and carries updates on members. An update is
- * compact (which state of which process) or full (with name, place and
- * addresses). The code that signs datagrams is not here.
+ * A datagram has a header with the state of its sender, and updates on
+ * members. An update is compact (id, incarnation, refutation, state) or full
+ * (also name, region, failure domain, addresses and version). mem.c signs
+ * datagrams.
  *
- * Limits: MEM_PAYLOAD_MAX bytes; what does not fit is left out.
+ * Limits: MEM_PAYLOAD_MAX bytes; updates that do not fit stay pending.
  */
 #ifndef MEM_WIRE_H
 #define MEM_WIRE_H
@@ -19,22 +20,22 @@
 enum mem_type {
 	MEM_PING = 1, /* answered by MEM_ACK with the same sequence number */
 	MEM_ACK,      /* subject: the member that answered */
-	MEM_PING_REQ, /* ping the subject for me */
-	MEM_GOSSIP,   /* updates only, not answered */
-	MEM_SYNC,     /* all present members with ids from low to high */
-	MEM_PULL,     /* send me full updates on these members */
-	MEM_MEMBERS,  /* full updates, as asked for */
+	MEM_PING_REQ, /* requests an indirect ping of the subject */
+	MEM_GOSSIP,   /* updates only, no reply */
+	MEM_SYNC,     /* all present members with ids in [low, high] */
+	MEM_PULL,     /* requests full updates on these members */
+	MEM_MEMBERS,  /* full updates, the reply to SYNC and PULL */
 	MEM_TYPE_END,
 };
 
-/** What is told of one member. */
+/** State of one member as carried in a datagram. */
 struct mem_update {
 	node_id id;
 	uint64_t incarnation;
-	uint32_t refutation; /* grows when the member denies its death */
+	uint32_t refutation; /* raised by the member to refute suspect or dead */
 	enum mem_state state;
-	bool full;		  /* member is filled in */
-	struct mem_member member; /* name, place, addresses, version */
+	bool full;		  /* member is valid */
+	struct mem_member member; /* name, domain, addresses, version */
 };
 
 /** One datagram. */
@@ -44,7 +45,7 @@
 	uint64_t incarnation;
 	uint32_t refutation;
 	enum mem_state state;	 /* MEM_ALIVE or MEM_LEAVING */
-	struct sockaddr_in peer; /* where answers go, as advertised */
+	struct sockaddr_in peer; /* advertised address for replies */
 	uint64_t config_version;
 	uint64_t digest; /* of the sender's present members */
 	uint32_t sequence;
@@ -54,11 +55,11 @@
 	GArray *updates; /* struct mem_update */
 };
 
-/** Makes and frees a packet's array of updates. */
+/** Initializes a packet; mem_packet_clear() frees its updates. */
 void mem_packet_init(struct mem_packet *packet, enum mem_type type);
 void mem_packet_clear(struct mem_packet *packet);
 
-/** Returns the encoded size of an update, or a little more. */
+/** Returns an upper bound of the encoded size of an update in bytes. */
 size_t mem_update_size(const struct mem_update *update);
 
 /** Returns whether @p a is newer than @p b; both concern one member. */
@@ -70,7 +71,7 @@
 
 /**
  * Decodes a datagram without its signature.
- * @param packet  out: to be cleared by the caller, also after an error
+ * @param packet  out: cleared by the caller, also after an error
  * @return 0, or FS_E_PROTOCOL
  */
 int mem_wire_decode(const uint8_t *data, size_t size,
--- a/tests/mem_sim.h
+++ b/tests/mem_sim.h
@@ -1,5 +1,5 @@
-/* Runs many instances of the membership's state machine in virtual time. A
- * datagram takes LATENCY_MS; cuts, loss and pauses are set by the tests. */
+/* Runs many instances of the membership state machine in virtual time. A
+ * datagram takes SIM_LATENCY_MS; tests set partitions, loss and pauses. */
 #ifndef MEM_SIM_H
 #define MEM_SIM_H
 
@@ -10,9 +10,9 @@
 #include "mem_wire.h"
 
 #define SIM_MAX 420
-#define SIM_SLOTS 16 /* ms that a datagram may be under way */
+#define SIM_SLOTS 16 /* maximum latency of a datagram in ms */
 #define SIM_LATENCY_MS 2
-#define SIM_IP_UDP 28 /* bytes of the headers below a datagram */
+#define SIM_IP_UDP 28 /* bytes of the IP and UDP headers */
 #define SIM_BACKLOG 2000
 
 struct sim;
@@ -22,10 +22,10 @@
 	struct mem_core *core;
 	struct mem_member self;
 	bool down;   /* killed */
-	bool paused; /* stopped, datagrams wait */
+	bool paused; /* process stopped, datagrams queue */
 	GPtrArray *waiting;
 	uint64_t bytes, datagrams; /* sent */
-	int64_t config_due_ms;	   /* a text asked for arrives then */
+	int64_t config_due_ms;	   /* arrival of a requested configuration */
 	uint64_t config_due;
 };
 
@@ -42,10 +42,10 @@
 	GArray *slots[SIM_SLOTS]; /* struct sim_datagram */
 	/* Returns whether a datagram is lost. */
 	bool (*lost)(struct sim *sim, uint32_t from, uint32_t to);
-	/* Looks at each datagram that is sent; may be NULL. */
+	/* Called for each datagram sent; may be NULL. */
 	void (*inspect)(struct sim *sim, uint32_t from, uint32_t to,
 			const struct mem_packet *packet);
-	bool drop_waiting; /* a paused node's socket keeps nothing */
+	bool drop_waiting; /* datagrams to a paused node are lost */
 	uint64_t random;
 	uint32_t domains; /* of each region */
 	uint32_t regions;
@@ -93,7 +93,7 @@
 	g_byte_array_append(d->data, data, (guint)size);
 }
 
-/* Starts a node, or starts it again with a new incarnation. */
+/* Starts or restarts a node with the given incarnation. */
 static inline void sim_start(struct sim *sim, uint32_t i, uint64_t incarnation)
 {
 	struct sim_node *node = &sim->nodes[i];
@@ -164,7 +164,7 @@
 	g_free(sim);
 }
 
-/* A node that hears of a newer version has its text 20 ms later. */
+/* A node that learns of a newer version receives it 20 ms later. */
 static inline void sim_fetch_config(struct sim *sim, struct sim_node *node)
 {
 	uint64_t version;
@@ -240,7 +240,7 @@
 		sim_step(sim);
 }
 
-/* Returns what node @p i holds of node @p k. */
+/* Returns the state of node @p k in the view of node @p i. */
 static inline enum mem_state sim_state(struct sim *sim, uint32_t i, uint32_t k,
 				       bool *direct)
 {
@@ -254,7 +254,7 @@
 	return state;
 }
 
-/* Returns how many running nodes hold @p k in the given state. */
+/* Returns the number of running nodes that have @p k in the given state. */
 static inline uint32_t sim_count_state(struct sim *sim, uint32_t k,
 				       enum mem_state state)
 {
@@ -266,7 +266,7 @@
 	return n;
 }
 
-/* Returns how many running nodes hold every running node as alive. */
+/* Returns the number of running nodes that see as many alive members as run. */
 static inline uint32_t sim_count_converged(struct sim *sim)
 {
 	uint32_t up = 0;
@@ -280,7 +280,7 @@
 	return n;
 }
 
-/* Runs until all running nodes hold each other as alive; returns ms. */
+/* Runs until all running nodes see each other as alive; returns ms. */
 static inline int64_t sim_converge(struct sim *sim, int64_t limit_ms)
 {
 	int64_t start = sim->now_ms;
@@ -296,7 +296,7 @@
 	return sim->now_ms - start;
 }
 
-/* Runs until @p n nodes hold @p k in a state; returns ms. */
+/* Runs until @p n nodes have @p k in the state, or to the limit; returns ms. */
 static inline int64_t sim_until(struct sim *sim, uint32_t k,
 				enum mem_state state, uint32_t n,
 				int64_t limit_ms)
--- a/tests/prop_cnf.cpp
+++ b/tests/prop_cnf.cpp
@@ -1,4 +1,4 @@
-// Versions never go back, whatever texts come in whatever order.
+// Configuration versions are monotonic for any sequence of offers.
 #include <rapidcheck.h>
 
 #include <string>
--- a/tests/prop_mem.cpp
+++ b/tests/prop_mem.cpp
@@ -1,12 +1,12 @@
-// Properties of membership updates: their order, their encoding, and that the
-// order in which they arrive does not matter.
+// Properties of membership updates: strict order, decoding of mutated datagrams,
+// and a result that is independent of the order of arrival.
 #include <rapidcheck.h>
 
 #include <algorithm>
 #include <string>
 #include <vector>
 
-// The C headers have members of that name.
+// The C headers have members named operator, a C++ keyword.
 #define operator operator_address
 extern "C" {
 #include "mem_core.h"
@@ -88,8 +88,8 @@
 	return core;
 }
 
-// Dead members that were never known leave no trace, so that the comparison is
-// of those present.
+// Updates on unknown members that are dead are not stored, so only present
+// members are compared.
 std::string present(mem_core *core)
 {
 	mem_view *view = mem_core_peek(core);
@@ -107,8 +107,8 @@
 	return text;
 }
 
-// Each member is told of as alive first; whatever comes after that, in
-// whatever order, ends in the same table.
+// Each member is first reported as alive; later updates give the same table in
+// any order.
 bool update_order_does_not_matter()
 {
 	return rc::check("any order of updates gives the same table", [] {
--- a/tests/unit_cnf.c
+++ b/tests/unit_cnf.c
@@ -1,4 +1,4 @@
-/* Leaving targets: lists of several pollers, and whom they are told to. */
+/* Leaving targets: union and expiry of the lists of several pollers. */
 #include <string.h>
 
 #include "cnf_leaving.h"
@@ -34,7 +34,8 @@
 	g_assert_cmpstr(text->str, ==, expected);
 }
 
-/* A poller that lags must not give a leaving target new work again. */
+/* The older list of a lagging poller must not make a leaving target eligible
+ * for new requests again. */
 static void test_lagging_poller_keeps_leaving(void)
 {
 	struct cnf_leaving *leaving = cnf_leaving_new();
@@ -56,7 +57,8 @@
 	int64_t s = FS_US_PER_S;
 
 	report_list(leaving, 1, "a", 1 * s);
-	assert_union(leaving, 3600 * s, "a"); /* nobody told otherwise */
+	assert_union(leaving, 3600 * s,
+		     "a"); /* no newer list from any poller */
 	report_list(leaving, 2, "b", 5 * s);
 	assert_union(leaving, 5 * s, "a b");
 	report_list(leaving, 2, "b", 12 * s);
@@ -69,6 +71,7 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/cnf/lagging_poller",
 			test_lagging_poller_keeps_leaving);
-	g_test_add_func("/cnf/silent_poller", test_unresponsive_poller_expires);
+	g_test_add_func("/cnf/unresponsive_poller",
+			test_unresponsive_poller_expires);
 	return g_test_run();
 }
--- a/tests/unit_mem.c
+++ b/tests/unit_mem.c
@@ -1,11 +1,11 @@
-/* The membership's state machine under kills, cuts, pauses and loss, in
- * virtual time. */
+/* The membership state machine under crashes, partitions, pauses and packet loss,
+ * in virtual time. */
 #include "mem_sim.h"
 
-#define DETECT_MS 6000 /* a killed node is no longer alive to anybody */
+#define DETECT_MS 6000 /* no node sees a killed one as alive */
 #define DEAD_MS 15000
-#define LEAVING_MS 500 /* nobody picks it long before answers expire */
-#define CONFIG_MS 6000 /* in force everywhere, by the letter */
+#define LEAVING_MS 500 /* well before cached resolve answers expire */
+#define CONFIG_MS 6000 /* target for a new version on all nodes */
 
 static struct sim *new_converged(uint32_t count, uint32_t regions,
 				 uint32_t domains)
@@ -17,8 +17,8 @@
 	return sim;
 }
 
-/* Steps through @p ms and asserts that no running node ever holds another
- * running one otherwise than alive; nodes below @p from are not asked. */
+/* Runs for @p ms and asserts that each node from @p from on sees all nodes as
+ * alive throughout. */
 static void run_without_suspicion(struct sim *sim, int64_t ms, uint32_t from)
 {
 	for (int64_t end = sim->now_ms + ms; sim->now_ms < end;) {
@@ -54,7 +54,7 @@
 	sim_free(sim);
 }
 
-/* With two nodes nobody else can be asked. */
+/* With two nodes there are no relays for indirect pings. */
 static void test_kill_of_the_only_peer(void)
 {
 	struct sim *sim = new_converged(2, 1, 2);
@@ -80,7 +80,7 @@
 	sim_free(sim);
 }
 
-/* A VM whose clock lies behind that of the one it replaces. */
+/* The clock of a replacement VM is behind that of its predecessor. */
 static void test_restart_with_an_older_clock(void)
 {
 	struct sim *sim = new_converged(16, 1, 3);
@@ -137,7 +137,7 @@
 	return to == 0;
 }
 
-/* Accusations go to the accused only. */
+/* A suspicion may be sent only to the suspect itself. */
 static void assert_accuses_receiver_only(struct sim *sim, uint32_t from,
 					 uint32_t to,
 					 const struct mem_packet *packet)
@@ -151,7 +151,7 @@
 	}
 }
 
-/* A node that hears nobody, but is heard: no other may be disturbed. */
+/* A node that sends but receives nothing must not make others suspect. */
 static void test_receive_loss_suspects_no_other(void)
 {
 	struct sim *sim = new_converged(16, 1, 3);
@@ -179,8 +179,8 @@
 		      sim->nodes[to].self.region) != 0;
 }
 
-/* Two regions apart for an hour: each goes on alone and undisturbed, and they
- * find each other again. */
+/* Two regions partitioned for an hour: each keeps all its members alive, and the
+ * regions merge again afterwards. */
 static void test_regions_apart_for_an_hour(void)
 {
 	struct sim *sim = new_converged(16, 2, 3);
@@ -206,7 +206,7 @@
 	sim_free(sim);
 }
 
-/* A stopped process is taken for dead; when it goes on it accuses nobody. */
+/* A stopped process is declared dead; after it resumes it suspects no other. */
 static void test_paused_node_suspects_no_other(void)
 {
 	struct sim *sim = new_converged(16, 1, 3);
@@ -234,7 +234,7 @@
 	pinged = pinged || (from == 3 && packet->type == MEM_PING);
 }
 
-/* Stopped in the middle of its pings, each time. */
+/* Each pause begins while a ping is outstanding. */
 static void test_short_pauses_suspect_no_other(void)
 {
 	struct sim *sim = new_converged(16, 1, 3);
@@ -256,7 +256,7 @@
 	sim_free(sim);
 }
 
-/* Silent for less time than a suspect has: nobody may take it for dead. */
+/* A pause shorter than the suspicion timeout: no node may declare it dead. */
 static void test_short_pause_is_not_dead(void)
 {
 	struct sim *sim = new_converged(16, 1, 3);
@@ -275,7 +275,7 @@
 	sim_free(sim);
 }
 
-/* A node paused while it suspects another hears nothing of the denial. */
+/* A node that is paused while it suspects another misses the refutation. */
 static void test_pause_extends_suspicion(void)
 {
 	struct sim *sim = new_converged(16, 1, 3);
@@ -356,7 +356,7 @@
 
 		for (size_t k = 0; k < size; k++)
 			data[k] = (uint8_t)sim_random(sim);
-		data[0] = 0x9e; /* an array, to get further */
+		data[0] = 0x9e; /* array of 14, to get past the type check */
 		g_assert_cmpint(mem_core_receive(sim->nodes[0].core, data, size,
 						 sim_us(sim)),
 				==, FS_E_PROTOCOL);
@@ -377,12 +377,13 @@
 	g_test_add_func("/mem/one_way_pair", test_one_way_cut_of_a_pair);
 	g_test_add_func("/mem/one_way_domains",
 			test_one_way_cut_between_domains);
-	g_test_add_func("/mem/deaf", test_receive_loss_suspects_no_other);
+	g_test_add_func("/mem/receive_loss",
+			test_receive_loss_suspects_no_other);
 	g_test_add_func("/mem/regions_apart", test_regions_apart_for_an_hour);
 	g_test_add_func("/mem/paused", test_paused_node_suspects_no_other);
 	g_test_add_func("/mem/paused_shortly",
 			test_short_pauses_suspect_no_other);
-	g_test_add_func("/mem/short_silence", test_short_pause_is_not_dead);
+	g_test_add_func("/mem/short_pause", test_short_pause_is_not_dead);
 	g_test_add_func("/mem/paused_suspecting", test_pause_extends_suspicion);
 	g_test_add_func("/mem/leaving", test_leaving_is_broadcast_at_once);
 	g_test_add_func("/mem/loss", test_loss_declares_nobody_dead);
