--- a/src/cnf.c
+++ b/src/cnf.c
@@ -52,7 +52,7 @@
 	uint64_t problems;
 	enum aud_rule rule;
 
-	/* A repeat of the version in force or last rejected is not audited again. */
+	/* A repeat of the version in force or rejected last is not audited. */
 	if (version == known || version == cnf->store.rejected_version)
 		return;
 	rule = cnf_store_offer(&cnf->store, version, text, &problems);
--- a/src/cnf_leaving.h
+++ b/src/cnf_leaving.h
@@ -4,9 +4,9 @@
  *
  * A poller sends each dispatcher the leaving servers of its shards. Pollers may
  * lag behind each other, so a dispatcher's node keeps one list per poller and
- * uses their union. A list expires once it is more than CNF_LIST_EXPIRY_US older
- * than the newest list of any poller: during an outage of the platform the last
- * lists stay valid.
+ * uses their union. A list expires once it is older than the newest list of any
+ * poller by more than CNF_LIST_EXPIRY_US: during an outage of the platform the
+ * last lists stay valid.
  */
 #ifndef CNF_LEAVING_H
 #define CNF_LEAVING_H
--- a/src/cnf_priv.h
+++ b/src/cnf_priv.h
@@ -14,10 +14,10 @@
 #define CNF_WATCH_WAIT_US (2 * FS_US_PER_S) /* one long poll */
 #define CNF_RETRY_MIN_US 250000
 #define CNF_RETRY_MAX_US (2 * FS_US_PER_S)
-#define CNF_REQUEST_TIMEOUT_US FS_US_PER_S     /* then another member */
+#define CNF_REQUEST_TIMEOUT_US FS_US_PER_S     /* then another peer */
 #define CNF_READY_TIMEOUT_US (5 * FS_US_PER_S) /* for the peers' newest */
-#define CNF_LEAVING_REFRESH_US \
-	(3 * FS_US_PER_S)	 /* resend interval of the lists */
+/* Interval at which unchanged lists of leaving targets are sent again. */
+#define CNF_LEAVING_REFRESH_US (3 * FS_US_PER_S)
 #define CNF_EMPTY_LIST_REPEATS 3 /* transmissions of an empty list */
 
 /** A repeated call to the platform, with backoff after failures. */
@@ -47,7 +47,7 @@
 	uint64_t requested_version;
 	int64_t requested_us;
 	/* Leaving targets */
-	GArray *leaving_vms; /* struct plt_vm: leaving targets of the list */
+	GArray *leaving_vms; /* struct plt_vm: leaving targets */
 	bool leaving_vms_known;
 	GHashTable *notified; /* node_id * to remaining empty lists */
 	int64_t last_broadcast_us;
--- a/src/mem.c
+++ b/src/mem.c
@@ -127,7 +127,7 @@
 	return self;
 }
 
-/* Runs in the first loop iteration, when all tasks have bound their addresses. */
+/* Runs in the first loop iteration: all tasks have bound their addresses. */
 static void on_start(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct mem *mem = timer->data;
--- a/src/mem.h
+++ b/src/mem.h
@@ -19,7 +19,7 @@
 enum mem_state {
 	MEM_ALIVE,
 	MEM_SUSPECT, /* answers neither direct nor indirect pings */
-	MEM_LEAVING, /* planned stop: finishes its requests, accepts no new ones */
+	MEM_LEAVING, /* planned stop: finishes requests, accepts no new ones */
 	MEM_DEAD,
 };
 
@@ -35,8 +35,8 @@
 	struct sockaddr_in operator; /* operator interface */
 	enum mem_state state;
 	bool direct; /* answers direct pings; false: only indirect ones */
-	uint64_t config_version; /* as last reported; a change of it alone
-				  * creates no new view */
+	uint64_t config_version; /* reported until the view was created; a
+				  * change of it alone creates no new view */
 };
 
 /** All members, sorted by id. The node itself is one of them. */
--- a/src/mem_check.c
+++ b/src/mem_check.c
@@ -141,8 +141,8 @@
 	return false;
 }
 
-/* A partition often affects a whole failure domain: FAR_RELAYS of the relays are
- * preferably outside the domains of this node and of the target. */
+/* A partition often affects an entire failure domain, so FAR_RELAYS of the
+ * relays are preferably outside the domains of this node and of the target. */
 static void send_ping_reqs(struct mem_core *core, struct mem_check *check,
 			   const struct mem_node *target)
 {
--- a/src/mem_core.h
+++ b/src/mem_core.h
@@ -57,7 +57,7 @@
 /** Announces that this node is leaving. */
 void mem_core_leave(struct mem_core *core);
 
-/** Sets the configuration version of this node and pushes it to a few members. */
+/** Sets the configuration version of this node and pushes it to members. */
 void mem_core_set_config(struct mem_core *core, uint64_t version,
 			 int64_t now_us);
 
--- a/src/mem_core_priv.h
+++ b/src/mem_core_priv.h
@@ -8,10 +8,10 @@
 #include "mem_core.h"
 #include "mem_table.h"
 
-#define MEM_PAUSE_MIN_US \
-	(10 * MEM_TICK_US) /* a longer gap between ticks is a pause */
-#define MEM_INDIRECT_TIMEOUT_US \
-	(2 * FS_GOSSIP_ACK_US) /* after FS_GOSSIP_ACK_US */
+/* A longer gap between two ticks counts as a pause of the process. */
+#define MEM_PAUSE_MIN_US (10 * MEM_TICK_US)
+/* Wait for an indirect ack, after FS_GOSSIP_ACK_US for the direct one. */
+#define MEM_INDIRECT_TIMEOUT_US (2 * FS_GOSSIP_ACK_US)
 #define MEM_RX_TIMEOUT_US (3 * FS_GOSSIP_PERIOD_US)
 #define MEM_CHECKS_MAX 16
 #define MEM_RELAYS_MAX 64
@@ -19,7 +19,7 @@
 #define MEM_CONTACT_PERIOD_ALONE_US 500000
 #define MEM_CONTACT_PERIOD_US 5000000
 #define MEM_SYNC_INTERVAL_MIN_US 5000000 /* between two table comparisons */
-#define MEM_SYNC_SETTLE_US 3000000	 /* without state changes before one */
+#define MEM_SYNC_SETTLE_US 3000000	 /* since the last state change */
 #define MEM_DEAD_RETENTION_US (7200 * FS_US_PER_S) /* of dead members */
 #define MEM_PUSH_FANOUT 3
 #define MEM_PUSH_BURST 10
--- a/src/mem_report.h
+++ b/src/mem_report.h
@@ -10,7 +10,10 @@
 /** Returns the name of a state: "alive", "suspect", "leaving" or "dead". */
 const char *mem_state_name(enum mem_state state);
 
-/** Logs a "member" event for each new or changed member. @param before  may be NULL */
+/**
+ * Logs a "member" event for each new or changed member.
+ * @param before  may be NULL
+ */
 void mem_report_changes(const struct mem_view *before,
 			const struct mem_view *after);
 
--- a/src/mem_sync.c
+++ b/src/mem_sync.c
@@ -28,7 +28,7 @@
 	return nodes;
 }
 
-/* Announces this node with a SYNC of the whole id range: the receiver replies
+/* Announces this node with a SYNC of the complete id range: the receiver replies
  * with all other members it has. */
 static void send_join(struct mem_core *core, const struct sockaddr_in *to)
 {
@@ -186,8 +186,8 @@
 	}
 }
 
-/* Pings up to @p limit dead members; if @p reported_only, just those that another
- * node reported as not dead. */
+/* Pings up to @p limit dead members; if @p reported_only, just those that
+ * another node reported as not dead. */
 static void contact_dead(struct mem_core *core, guint limit, bool reported_only)
 {
 	guint n = core->table.nodes->len;
--- a/src/mem_wire.h
+++ b/src/mem_wire.h
@@ -7,7 +7,7 @@
  * (also name, region, failure domain, addresses and version). mem.c signs
  * datagrams.
  *
- * Limits: MEM_PAYLOAD_MAX bytes; updates that do not fit stay pending.
+ * Limits: MEM_PAYLOAD_MAX bytes; updates that do not fit are left out.
  */
 #ifndef MEM_WIRE_H
 #define MEM_WIRE_H
@@ -32,7 +32,7 @@
 struct mem_update {
 	node_id id;
 	uint64_t incarnation;
-	uint32_t refutation; /* raised by the member to refute suspect or dead */
+	uint32_t refutation; /* raised by the member to refute a suspicion */
 	enum mem_state state;
 	bool full;		  /* member is valid */
 	struct mem_member member; /* name, domain, addresses, version */
--- a/tests/prop_mem.cpp
+++ b/tests/prop_mem.cpp
@@ -1,5 +1,5 @@
-// Properties of membership updates: strict order, decoding of mutated datagrams,
-// and a result that is independent of the order of arrival.
+// Properties of membership updates: strict order, decoding of mutated
+// datagrams, and a result that is independent of the order of arrival.
 #include <rapidcheck.h>
 
 #include <algorithm>
--- a/tests/unit_cnf.c
+++ b/tests/unit_cnf.c
@@ -57,8 +57,7 @@
 	int64_t s = FS_US_PER_S;
 
 	report_list(leaving, 1, "a", 1 * s);
-	assert_union(leaving, 3600 * s,
-		     "a"); /* no newer list from any poller */
+	assert_union(leaving, 3600 * s, "a"); /* no newer list */
 	report_list(leaving, 2, "b", 5 * s);
 	assert_union(leaving, 5 * s, "a b");
 	report_list(leaving, 2, "b", 12 * s);
--- a/tests/unit_mem.c
+++ b/tests/unit_mem.c
@@ -1,5 +1,5 @@
-/* The membership state machine under crashes, partitions, pauses and packet loss,
- * in virtual time. */
+/* The membership state machine under crashes, partitions, pauses and packet
+ * loss, in virtual time. */
 #include "mem_sim.h"
 
 #define DETECT_MS 6000 /* no node sees a killed one as alive */
@@ -40,12 +40,12 @@
 static void test_kill_is_detected_by_all(void)
 {
 	struct sim *sim = new_converged(48, 1, 3);
-	int64_t suspected_ms;
+	int64_t killed_ms;
 
 	sim->nodes[7].down = true;
-	suspected_ms = sim->now_ms;
+	killed_ms = sim->now_ms;
 	while (sim_count_state(sim, 7, MEM_ALIVE) &&
-	       sim->now_ms - suspected_ms < DETECT_MS)
+	       sim->now_ms - killed_ms < DETECT_MS)
 		sim_run(sim, 100);
 	g_assert_cmpuint(sim_count_state(sim, 7, MEM_ALIVE), ==, 0);
 	sim_until(sim, 7, MEM_DEAD, 47, DEAD_MS);
@@ -179,8 +179,8 @@
 		      sim->nodes[to].self.region) != 0;
 }
 
-/* Two regions partitioned for an hour: each keeps all its members alive, and the
- * regions merge again afterwards. */
+/* Two regions partitioned for an hour: each keeps all its members alive, and
+ * the regions merge again afterwards. */
 static void test_regions_apart_for_an_hour(void)
 {
 	struct sim *sim = new_converged(16, 2, 3);
