--- a/src/mem.c
+++ b/src/mem.c
@@ -154,7 +154,8 @@
 	} else if (m->type == MSG_CONTACTS) {
 		const GArray *at = m->contacts.addresses;
 
-		mem_core_set_listed(mem->core, (const void *)at->data, at->len);
+		mem_core_set_vm_contacts(mem->core, (const void *)at->data,
+					 at->len);
 	} else if (m->type == MSG_STOP) {
 		mem_core_leave(mem->core);
 		publish_view(mem);
--- a/src/mem_check.c
+++ b/src/mem_check.c
@@ -53,7 +53,7 @@
 	}
 }
 
-void mem_check_enroll(struct mem_core *core, struct mem_node *node)
+void mem_check_add_to_ring(struct mem_core *core, struct mem_node *node)
 {
 	guint later = core->ring->len - MIN(core->ring_next, core->ring->len);
 	guint position = core->ring->len - mem_random_below(core, later + 1);
--- a/src/mem_core.c
+++ b/src/mem_core.c
@@ -93,8 +93,9 @@
 	core->contact_seeds = core->contacts->len;
 }
 
-void mem_core_set_listed(struct mem_core *core,
-			 const struct sockaddr_in *addresses, uint32_t count)
+void mem_core_set_vm_contacts(struct mem_core *core,
+			      const struct sockaddr_in *addresses,
+			      uint32_t count)
 {
 	g_array_set_size(core->contacts, core->contact_seeds);
 	for (uint32_t i = 0; i < count; i++)
--- a/src/mem_core.h
+++ b/src/mem_core.h
@@ -44,8 +44,9 @@
 		       const struct sockaddr_in *address);
 
 /** Replaces the contact addresses that come from the VM list. */
-void mem_core_set_listed(struct mem_core *core,
-			 const struct sockaddr_in *addresses, uint32_t count);
+void mem_core_set_vm_contacts(struct mem_core *core,
+			      const struct sockaddr_in *addresses,
+			      uint32_t count);
 
 /** Runs the timers; called every MEM_TICK_US. */
 void mem_core_tick(struct mem_core *core, int64_t now_us);
--- a/src/mem_core_priv.h
+++ b/src/mem_core_priv.h
@@ -120,7 +120,7 @@
 int64_t mem_suspicion_timeout_us(const struct mem_core *core);
 
 /** Inserts a member at a random position of the ping ring. */
-void mem_check_enroll(struct mem_core *core, struct mem_node *node);
+void mem_check_add_to_ring(struct mem_core *core, struct mem_node *node);
 
 /* Updates: mem_merge.c */
 
--- a/src/mem_merge.c
+++ b/src/mem_merge.c
@@ -16,7 +16,7 @@
 	core->changed = true;
 	core->changed_us = now_us;
 	if (state != MEM_DEAD)
-		mem_check_enroll(core, node);
+		mem_check_add_to_ring(core, node);
 }
 
 void mem_drop(struct mem_core *core, struct mem_node *node)
--- a/tests/mem_sim.h
+++ b/tests/mem_sim.h
@@ -297,9 +297,9 @@
 }
 
 /* Runs until @p n nodes have @p k in the state, or to the limit; returns ms. */
-static inline int64_t sim_until(struct sim *sim, uint32_t k,
-				enum mem_state state, uint32_t n,
-				int64_t limit_ms)
+static inline int64_t sim_run_until(struct sim *sim, uint32_t k,
+				    enum mem_state state, uint32_t n,
+				    int64_t limit_ms)
 {
 	int64_t start = sim->now_ms;
 
--- a/tests/unit_mem.c
+++ b/tests/unit_mem.c
@@ -48,7 +48,7 @@
 	       sim->now_ms - killed_ms < DETECT_MS)
 		sim_run(sim, 100);
 	g_assert_cmpuint(sim_count_state(sim, 7, MEM_ALIVE), ==, 0);
-	sim_until(sim, 7, MEM_DEAD, 47, DEAD_MS);
+	sim_run_until(sim, 7, MEM_DEAD, 47, DEAD_MS);
 	g_assert_cmpuint(sim_count_state(sim, 7, MEM_DEAD), ==, 47);
 	g_assert_cmpuint(sim_count_converged(sim), ==, 47);
 	sim_free(sim);
@@ -60,7 +60,7 @@
 	struct sim *sim = new_converged(2, 1, 2);
 
 	sim->nodes[1].down = true;
-	sim_until(sim, 1, MEM_DEAD, 1, DEAD_MS);
+	sim_run_until(sim, 1, MEM_DEAD, 1, DEAD_MS);
 	g_assert_cmpuint(sim_count_state(sim, 1, MEM_DEAD), ==, 1);
 	sim_start(sim, 1, 5000000);
 	sim_converge(sim, DEAD_MS);
@@ -86,7 +86,7 @@
 	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->nodes[4].down = true;
-	sim_until(sim, 4, MEM_DEAD, 15, DEAD_MS);
+	sim_run_until(sim, 4, MEM_DEAD, 15, DEAD_MS);
 	sim_start(sim, 4, 5);
 	sim_converge(sim, DEAD_MS);
 	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
@@ -213,7 +213,7 @@
 
 	sim->drop_waiting = true;
 	sim->nodes[3].paused = true;
-	sim_until(sim, 3, MEM_DEAD, 15, DEAD_MS);
+	sim_run_until(sim, 3, MEM_DEAD, 15, DEAD_MS);
 	sim_run(sim, 30000);
 	sim_resume(sim, 3);
 	for (int i = 0; i < 200; i++) {
