--- a/src/mem_sync.c
+++ b/src/mem_sync.c
@@ -28,8 +28,8 @@
 	return nodes;
 }
 
-/* Announces this node with a SYNC of the complete id range: the receiver replies
- * with all other members it has. */
+/* Announces this node with a SYNC of the complete id range: the receiver
+ * replies with all other members it has. */
 static void send_join(struct mem_core *core, const struct sockaddr_in *to)
 {
 	struct mem_update self = mem_node_update(core->self, true);
--- a/src/mem_wire.c
+++ b/src/mem_wire.c
@@ -271,7 +271,7 @@
 
 	mem_packet_init(packet, MEM_PING);
 	msgpack_unpacked_init(&unpacked);
-	/* msgpack allocates any declared array size: msg_scan() checks first. */
+	/* msgpack allocates any declared array size: msg_scan() checks it. */
 	if (size <= MEM_PAYLOAD_MAX && msg_scan(data, size) &&
 	    msgpack_unpack_next(&unpacked, (const char *)data, size, &offset) ==
 		    MSGPACK_UNPACK_SUCCESS &&
