--- a/src/dsp.c
+++ b/src/dsp.c
@@ -21,7 +21,7 @@
 
 	g_hash_table_iter_init(&iter, dsp->shards);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard))
-		dsp_run_waiting(shard, now_us);
+		dsp_run_start_queued(shard, now_us);
 }
 
 static void refuse_unread(struct dsp_run *run, int64_t now_us)
@@ -39,7 +39,8 @@
 
 	g_hash_table_iter_init(&iter, dsp->runs);
 	while (g_hash_table_iter_next(&iter, (void **)&run, NULL)) {
-		if (run->ended && now_us > run->deadline_us + DSP_SEND_GRACE_US)
+		if (run->ended &&
+		    now_us > run->deadline_us + DSP_STREAM_GRACE_US)
 			g_ptr_array_add(late, run);
 	}
 	for (guint i = 0; i < late->len; i++)
@@ -57,8 +58,8 @@
 	(void)events;
 	g_hash_table_iter_init(&iter, dsp->shards);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard))
-		dsp_judge_tick(shard, now_us);
-	dsp_judge_dependencies(dsp);
+		dsp_health_tick(shard, now_us);
+	dsp_health_dependencies(dsp);
 	dsp_owner_tick(dsp, now_us);
 	drop_unread(dsp, now_us);
 	run_all(dsp, now_us);
@@ -113,17 +114,17 @@
 		take_view(dsp, m, now_us);
 		break;
 	case MSG_RECORD:
-		dsp_judge_record(dsp, m, now_us);
+		dsp_health_record(dsp, m, now_us);
 		break;
 	case MSG_PROBE_TOLD:
-		dsp_judge_probe(dsp, m, now_us);
+		dsp_health_probe(dsp, m, now_us);
 		break;
 	case MSG_TARGETS_LEAVING:
 		dsp_leave_targets(dsp, m, now_us);
 		run_all(dsp, now_us);
 		break;
 	case MSG_HANDOVER:
-		dsp_handover_take(dsp, m, now_us);
+		dsp_handover_receive(dsp, m, now_us);
 		break;
 	case MSG_LINK_DOWN:
 		dsp_cancel_streams(dsp, m->link_down.node, now_us);
--- a/src/dsp_admit.c
+++ b/src/dsp_admit.c
@@ -27,8 +27,8 @@
 	return budget;
 }
 
-void dsp_admit_numbers(const struct dsp_run *run, int64_t now_us,
-		       struct slt_inputs *n)
+void dsp_admit_inputs(const struct dsp_run *run, int64_t now_us,
+		      struct slt_inputs *n)
 {
 	const struct dsp_shard *shard = run->shard;
 	struct slt_server slots[FS_SHARD_SERVERS_MAX];
@@ -62,10 +62,10 @@
 		.outcome = FS_NOT_RUN,
 	};
 
-	dsp_audit_turned_away(dsp, request, err, now_us);
+	dsp_audit_reject(dsp, request, err, now_us);
 	dsp_count(dsp, fs_err_name(err), NULL);
 	dsp_seen_add(dsp->seen, &request->id,
-		     err == FS_E_NOT_OWNER ? DSP_SEEN_PASSED_ON :
+		     err == FS_E_NOT_OWNER ? DSP_SEEN_NOT_OWNER :
 					     DSP_SEEN_ENDED,
 		     FS_NOT_RUN, now_us);
 	dsp_reply_refusal(dsp, m->from, &request->id, &refusal);
@@ -130,8 +130,8 @@
 	memset(&m->request, 0, sizeof(m->request));
 	run->priority = route->priority;
 	run->repeatable = route->repeatable;
-	run->tries_max = route->repeatable ? MIN(route->tries, DSP_TRIES_MAX) :
-					     1;
+	run->tries_max =
+		route->repeatable ? MIN(route->tries, DSP_ATTEMPTS_MAX) : 1;
 	run->taken_us = now_us;
 	run->allowed_us = route->deadline_us;
 	run->deadline_us =
@@ -167,7 +167,7 @@
 		return FS_E_QUEUE_FULL;
 	victim = (struct dsp_run *)((char *)item -
 				    offsetof(struct dsp_run, item));
-	dsp_admit_numbers(victim, now_us, &n);
+	dsp_admit_inputs(victim, now_us, &n);
 	dsp_audit_refusal(victim, FS_E_SHED, &n, now_us);
 	dsp_run_refuse(victim, FS_E_SHED, dsp_run_outcome(victim),
 		       slt_retry_after(&n), now_us);
@@ -180,7 +180,7 @@
 	int key_err;
 	int err;
 
-	dsp_admit_numbers(run, now_us, &n);
+	dsp_admit_inputs(run, now_us, &n);
 	err = slt_admit(&n);
 	if (err && err != FS_E_QUEUE_FULL)
 		return err;
@@ -203,11 +203,11 @@
 	int err;
 
 	if (g_hash_table_contains(dsp->runs, id) || state == DSP_SEEN_ENDED ||
-	    (state == DSP_SEEN_PASSED_ON && !m->request.forced)) {
+	    (state == DSP_SEEN_NOT_OWNER && !m->request.forced)) {
 		dsp_count(dsp, "duplicates", NULL);
 		return;
 	}
-	err = state == DSP_SEEN_WITHDRAWN ?
+	err = state == DSP_SEEN_CANCELLED ?
 		      FS_E_CANCELLED :
 		      check(dsp, m, &shard, &route, now_us);
 	if (err) {
@@ -220,12 +220,12 @@
 	dsp_count(dsp, "requests", run->m->request.service);
 	err = admit(run, now_us);
 	if (err) {
-		dsp_admit_numbers(run, now_us, &n);
+		dsp_admit_inputs(run, now_us, &n);
 		dsp_audit_refusal(run, err, &n, now_us);
 		dsp_run_refuse(run, err, FS_NOT_RUN, slt_retry_after(&n),
 			       now_us);
 		return;
 	}
 	que_push(&shard->que, &run->item, run->priority);
-	dsp_run_waiting(shard, now_us);
+	dsp_run_start_queued(shard, now_us);
 }
--- a/src/dsp_audit.c
+++ b/src/dsp_audit.c
@@ -118,8 +118,8 @@
 	aud_emit(run->dsp->node->aud, &rec);
 }
 
-void dsp_audit_turned_away(struct dsp *dsp, const struct msg_request *request,
-			   int err, int64_t now_us)
+void dsp_audit_reject(struct dsp *dsp, const struct msg_request *request,
+		      int err, int64_t now_us)
 {
 	struct aud_record rec;
 
--- a/src/dsp_cancel.c
+++ b/src/dsp_cancel.c
@@ -9,12 +9,12 @@
 
 	switch (dsp_seen_find(dsp->seen, id, &outcome)) {
 	case DSP_SEEN_NEVER:
-	case DSP_SEEN_PASSED_ON:
-		dsp_seen_add(dsp->seen, id, DSP_SEEN_WITHDRAWN, outcome,
+	case DSP_SEEN_NOT_OWNER:
+		dsp_seen_add(dsp->seen, id, DSP_SEEN_CANCELLED, outcome,
 			     now_us);
 		break;
 	case DSP_SEEN_ENDED:
-	case DSP_SEEN_WITHDRAWN:
+	case DSP_SEEN_CANCELLED:
 		break;
 	}
 	refusal.outcome = outcome == FS_NOT_RUN ? FS_NOT_RUN : FS_UNKNOWN;
@@ -37,7 +37,7 @@
 	dsp_exchange_stop(run, now_us);
 	dsp_run_refuse(run, FS_E_CANCELLED, dsp_run_outcome(run), 0, now_us);
 	if (shard)
-		dsp_run_waiting(shard, now_us);
+		dsp_run_start_queued(shard, now_us);
 }
 
 typedef bool (*lost_fn)(const struct dsp_run *run, node_id node);
@@ -78,7 +78,7 @@
 
 	g_hash_table_iter_init(&iter, dsp->shards);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard))
-		dsp_run_waiting(shard, now_us);
+		dsp_run_start_queued(shard, now_us);
 }
 
 void dsp_cancel_streams(struct dsp *dsp, node_id node, int64_t now_us)
--- a/src/dsp_drain.c
+++ b/src/dsp_drain.c
@@ -89,7 +89,7 @@
 	}
 }
 
-bool dsp_drain_over(bool gone, int64_t clean_us)
+bool dsp_drain_has_ended(bool gone, int64_t clean_us)
 {
 	return gone || clean_us >= DRAIN_CLEAN_US;
 }
@@ -120,7 +120,7 @@
 		drain->checked_us = now_us;
 	}
 	if (drain->clean_us &&
-	    dsp_drain_over(drain->gone, now_us - drain->clean_us)) {
+	    dsp_drain_has_ended(drain->gone, now_us - drain->clean_us)) {
 		dsp_drain_free(drain);
 		server->drain = NULL;
 		server->drained = false;
--- a/src/dsp_exchange.c
+++ b/src/dsp_exchange.c
@@ -70,8 +70,8 @@
 	run->tgt = NULL;
 }
 
-bool dsp_exchange_again(struct dsp_run *run, bool written, bool same,
-			int64_t now_us, struct rty_input *n)
+bool dsp_exchange_may_retry(struct dsp_run *run, bool written, bool same,
+			    int64_t now_us, struct rty_input *n)
 {
 	const char *service = run->m->request.service;
 
@@ -81,11 +81,11 @@
 	n->tries = run->tries;
 	n->tries_max = written || run->repeatable ?
 			       run->tries_max :
-			       MAX(run->tries_max, DSP_CONNECT_TRIES_MAX);
+			       MAX(run->tries_max, DSP_CONNECT_ATTEMPTS_MAX);
 	n->budget_milli = rty_budget_milli(
 		dsp_budget_of(run->dsp, service, now_us), now_us);
 	n->remaining_us = run->deadline_us - now_us;
-	n->usable = dsp_run_others(run, same, now_us);
+	n->usable = dsp_run_count_alternatives(run, same, now_us);
 	return rty_allowed(n);
 }
 
@@ -94,7 +94,7 @@
 			 int64_t now_us)
 {
 	struct rty_input n;
-	bool again = dsp_exchange_again(run, written, same, now_us, &n);
+	bool again = dsp_exchange_may_retry(run, written, same, now_us, &n);
 
 	dsp_audit_retry(run, &n, again, now_us);
 	if (again) {
@@ -196,7 +196,7 @@
 	else
 		answered(run, end, now_us);
 	if (shard)
-		dsp_run_waiting(shard, now_us);
+		dsp_run_start_queued(shard, now_us);
 }
 
 static void on_begun(void *arg, struct tgt *tgt)
@@ -217,8 +217,8 @@
 	struct dsp_run *run = arg;
 	struct rty_input n;
 
-	return dsp_exchange_again(run, tgt_written(tgt), tgt_reused(tgt),
-				  fs_now_us(), &n);
+	return dsp_exchange_may_retry(run, tgt_written(tgt), tgt_reused(tgt),
+				      fs_now_us(), &n);
 }
 
 static const struct tgt_ops exchange_ops = {
@@ -233,13 +233,15 @@
 {
 	const struct slt_times *head = &dsp_route_of(run)->head;
 	int64_t left_us = run->deadline_us - now_us;
-	int64_t slow_us = slt_times_quantile(head, DSP_HEAD_PERMILLE);
+	int64_t slow_us =
+		slt_times_quantile(head, DSP_HEADERS_TIMEOUT_PERMILLE);
 	uint32_t tries_left = run->tries_max - MIN(run->tries, run->tries_max);
 
 	if (!run->repeatable || !tries_left)
 		return run->deadline_us;
-	return now_us + MIN(left_us / 2,
-			    MAX(slow_us * DSP_HEAD_FACTOR, DSP_HEAD_MIN_US));
+	return now_us +
+	       MIN(left_us / 2, MAX(slow_us * DSP_HEADERS_TIMEOUT_FACTOR,
+				    DSP_HEADERS_TIMEOUT_MIN_US));
 }
 
 void dsp_exchange_begin(struct dsp_run *run, uint32_t i, int64_t now_us)
--- a/src/dsp_handover.c
+++ b/src/dsp_handover.c
@@ -152,7 +152,7 @@
 	message_send(dsp, m);
 }
 
-void dsp_handover_take(struct dsp *dsp, const struct msg *m, int64_t now_us)
+void dsp_handover_receive(struct dsp *dsp, const struct msg *m, int64_t now_us)
 {
 	const struct msg_handover *handover = &m->handover;
 
--- a/src/dsp_impl.h
+++ b/src/dsp_impl.h
@@ -22,15 +22,16 @@
 #include "slt.h"
 #include "tgt.h"
 
-#define DSP_TICK_US 100000LL	    /* between looks at all shards */
-#define DSP_QUIET_US 500000LL	    /* idle so long before MSG_STOPPED */
-#define DSP_CONNECT_TRIES_MAX 3	    /* connections for one unwritten request */
-#define DSP_HEAD_MIN_US 500000LL    /* least time for a try's first byte */
-#define DSP_HEAD_FACTOR 4	    /* times the service's slow answers */
-#define DSP_HEAD_PERMILLE 990	    /* which answers count as slow */
-#define DSP_STREAM_PIECE 32768U	    /* bytes of one MSG_PIECE at most */
-#define DSP_TRIES_MAX 8		    /* servers tried for one request */
-#define DSP_SEND_GRACE_US 1000000LL /* past the deadline, for a slow caller */
+#define DSP_TICK_US 100000LL	   /* between looks at all shards */
+#define DSP_STOP_IDLE_US 500000LL  /* idle so long before MSG_STOPPED */
+#define DSP_CONNECT_ATTEMPTS_MAX 3 /* connections for one unwritten request */
+#define DSP_HEADERS_TIMEOUT_MIN_US \
+	500000LL			 /* least time for a try's first byte */
+#define DSP_HEADERS_TIMEOUT_FACTOR 4	 /* times the service's slow answers */
+#define DSP_HEADERS_TIMEOUT_PERMILLE 990 /* which answers count as slow */
+#define DSP_STREAM_PIECE_BYTES 32768U	 /* bytes of one MSG_PIECE at most */
+#define DSP_ATTEMPTS_MAX 8		 /* servers tried for one request */
+#define DSP_STREAM_GRACE_US 1000000LL /* past the deadline, for a slow caller */
 
 struct dsp_drain;
 
@@ -74,9 +75,10 @@
 	bool keyed; /* its key is taken */
 	uint32_t tries_max;
 	uint32_t tries;
-	struct dsp_server *tried[DSP_TRIES_MAX]; /* the last one is the present */
-	bool written;				 /* by a try that has ended */
-	int err;				 /* of the last such try */
+	struct dsp_server
+		*tried[DSP_ATTEMPTS_MAX]; /* the last one is the present */
+	bool written;			  /* by a try that has ended */
+	int err;			  /* of the last such try */
 
 	/* The exchange in progress */
 	struct tgt *tgt;
@@ -151,8 +153,8 @@
 /** Takes MSG_REQUEST; the parts of the message may be stolen. */
 void dsp_admit(struct dsp *dsp, struct msg *m, int64_t now_us);
 /** Fills in the numbers of an admission. */
-void dsp_admit_numbers(const struct dsp_run *run, int64_t now_us,
-		       struct slt_inputs *n);
+void dsp_admit_inputs(const struct dsp_run *run, int64_t now_us,
+		      struct slt_inputs *n);
 
 /** Returns what is known of a run's route, made if need be. */
 struct dsp_route *dsp_route_of(const struct dsp_run *run);
@@ -166,12 +168,13 @@
 struct dsp_server *dsp_run_server(const struct dsp_run *run);
 /** Returns how many servers other than the tried ones may take the run; the
  *  last one counts as well if @p same. */
-uint32_t dsp_run_others(const struct dsp_run *run, bool same, int64_t now_us);
+uint32_t dsp_run_count_alternatives(const struct dsp_run *run, bool same,
+				    int64_t now_us);
 /** Waits for another try, before all others of its priority. */
 void dsp_run_requeue(struct dsp_run *run, int err, int64_t now_us);
 
 /** Starts whatever can be started, after dropping what is too late. */
-void dsp_run_waiting(struct dsp_shard *shard, int64_t now_us);
+void dsp_run_start_queued(struct dsp_shard *shard, int64_t now_us);
 /** Frees a run that has ended; its key and id are settled. */
 void dsp_run_end(struct dsp_run *run, enum fs_outcome outcome, int64_t now_us);
 /** Ends a run with a refusal. */
@@ -179,7 +182,7 @@
 		    int64_t retry_after_us, int64_t now_us);
 /** Refuses a run that waits, with a record; an error of a try that was written
  *  goes before @p err. */
-void dsp_run_give_up(struct dsp_run *run, int err, int64_t now_us);
+void dsp_run_refuse_queued(struct dsp_run *run, int err, int64_t now_us);
 /** Returns what may be said of a run that ends without an answer. */
 enum fs_outcome dsp_run_outcome(const struct dsp_run *run);
 
@@ -190,8 +193,8 @@
 /** Stops the try in progress, if any, and frees its slot. */
 void dsp_exchange_stop(struct dsp_run *run, int64_t now_us);
 /** Returns whether the run may be tried again now. */
-bool dsp_exchange_again(struct dsp_run *run, bool written, bool same,
-			int64_t now_us, struct rty_input *n);
+bool dsp_exchange_may_retry(struct dsp_run *run, bool written, bool same,
+			    int64_t now_us, struct rty_input *n);
 
 /* dsp_stream.c: long answers */
 void dsp_stream_begin(struct dsp_run *run, int64_t now_us);
@@ -215,23 +218,23 @@
 void dsp_audit_refusal(const struct dsp_run *run, int err,
 		       const struct slt_inputs *n, int64_t now_us);
 /** A refusal of a request that was not taken. */
-void dsp_audit_turned_away(struct dsp *dsp, const struct msg_request *request,
-			   int err, int64_t now_us);
+void dsp_audit_reject(struct dsp *dsp, const struct msg_request *request,
+		      int err, int64_t now_us);
 void dsp_audit_retry(const struct dsp_run *run, const struct rty_input *n,
 		     bool allowed, int64_t now_us);
 void dsp_audit_drain(struct dsp *dsp, const char *service, const char *server,
 		     const char *choice, int64_t now_us);
 
 /* dsp_judge.c: health */
-void dsp_judge_tick(struct dsp_shard *shard, int64_t now_us);
-void dsp_judge_record(struct dsp *dsp, struct msg *m, int64_t now_us);
+void dsp_health_tick(struct dsp_shard *shard, int64_t now_us);
+void dsp_health_record(struct dsp *dsp, struct msg *m, int64_t now_us);
 /** Applies the known record of the service to a new shard object. */
-void dsp_judge_apply(struct dsp_shard *shard, int64_t now_us);
-void dsp_judge_probe(struct dsp *dsp, const struct msg *m, int64_t now_us);
+void dsp_health_apply_record(struct dsp_shard *shard, int64_t now_us);
+void dsp_health_probe(struct dsp *dsp, const struct msg *m, int64_t now_us);
 
 /** Tells the judges of shards whether a service they depend on is sick, as far
  *  as this node knows. */
-void dsp_judge_dependencies(struct dsp *dsp);
+void dsp_health_dependencies(struct dsp *dsp);
 
 /* dsp_owner.c */
 
@@ -249,7 +252,7 @@
 /** Returns whether a server that said it is leaving may be used again.
  *  @param gone      it has refused a connection since
  *  @param clean_us  it has answered without the signal for so long */
-bool dsp_drain_over(bool gone, int64_t clean_us);
+bool dsp_drain_has_ended(bool gone, int64_t clean_us);
 void dsp_leave_stop(struct dsp *dsp, int64_t now_us);
 void dsp_leave_tick(struct dsp *dsp, int64_t now_us);
 
@@ -260,7 +263,7 @@
 /** Tells another owner of a key that was taken or spent here. */
 void dsp_handover_key(const struct dsp_run *run, bool in_flight,
 		      int64_t now_us);
-void dsp_handover_take(struct dsp *dsp, const struct msg *m, int64_t now_us);
+void dsp_handover_receive(struct dsp *dsp, const struct msg *m, int64_t now_us);
 
 /* dsp_status.c */
 void dsp_status_write(const void *task, GString *out, int64_t now_us);
--- a/src/dsp_judge.c
+++ b/src/dsp_judge.c
@@ -14,7 +14,7 @@
 	bus_send(dsp->node->bus, m);
 }
 
-void dsp_judge_tick(struct dsp_shard *shard, int64_t now_us)
+void dsp_health_tick(struct dsp_shard *shard, int64_t now_us)
 {
 	enum hlt_action actions[FS_SHARD_SERVERS_MAX] = {HLT_ACT_NONE};
 	enum aud_rule rules[FS_SHARD_SERVERS_MAX];
@@ -33,7 +33,7 @@
 		       record->confirmed_us, now_us);
 }
 
-void dsp_judge_apply(struct dsp_shard *shard, int64_t now_us)
+void dsp_health_apply_record(struct dsp_shard *shard, int64_t now_us)
 {
 	const struct msg *m = g_hash_table_lookup(
 		shard->dsp->records, dsp_shard_service(shard)->name);
@@ -43,7 +43,7 @@
 }
 
 /* Keeps the record for shard objects that are made later. */
-void dsp_judge_record(struct dsp *dsp, struct msg *m, int64_t now_us)
+void dsp_health_record(struct dsp *dsp, struct msg *m, int64_t now_us)
 {
 	struct msg *kept = msg_new(MSG_RECORD, m->to, m->task);
 	GHashTableIter iter;
@@ -62,7 +62,7 @@
 	}
 }
 
-void dsp_judge_probe(struct dsp *dsp, const struct msg *m, int64_t now_us)
+void dsp_health_probe(struct dsp *dsp, const struct msg *m, int64_t now_us)
 {
 	GHashTableIter iter;
 	struct dsp_shard *shard;
@@ -112,7 +112,7 @@
 	return is_mostly_out(dsp, service);
 }
 
-void dsp_judge_dependencies(struct dsp *dsp)
+void dsp_health_dependencies(struct dsp *dsp)
 {
 	GHashTableIter iter;
 	struct dsp_shard *shard;
--- a/src/dsp_leave.c
+++ b/src/dsp_leave.c
@@ -52,7 +52,7 @@
 		dsp->told_stopped = false;
 	}
 	if (!dsp->stopping || dsp->told_stopped ||
-	    now_us - dsp->busy_us < DSP_QUIET_US)
+	    now_us - dsp->busy_us < DSP_STOP_IDLE_US)
 		return;
 	dsp->told_stopped = true;
 	dsp_handover_send(dsp, now_us);
--- a/src/dsp_run.c
+++ b/src/dsp_run.c
@@ -64,13 +64,13 @@
 }
 
 /* An error that leaves the outcome unknown goes before one that does not. */
-void dsp_run_give_up(struct dsp_run *run, int err, int64_t now_us)
+void dsp_run_refuse_queued(struct dsp_run *run, int err, int64_t now_us)
 {
 	struct slt_inputs n;
 
 	if (run->written)
 		err = run->err;
-	dsp_admit_numbers(run, now_us, &n);
+	dsp_admit_inputs(run, now_us, &n);
 	n.ahead = 0;
 	n.free_slots = 1;
 	dsp_audit_refusal(run, err, &n, now_us);
@@ -81,11 +81,11 @@
 {
 	struct dsp_shard *shard = run->shard;
 
-	if (shard && run->tries < DSP_TRIES_MAX) {
+	if (shard && run->tries < DSP_ATTEMPTS_MAX) {
 		que_push_front(&shard->que, &run->item, run->priority);
 		return;
 	}
-	dsp_run_give_up(run, err, now_us);
+	dsp_run_refuse_queued(run, err, now_us);
 }
 
 /* Nothing that cannot be answered in time may take a slot. */
@@ -99,8 +99,8 @@
 
 			next = l->next;
 			if (run->deadline_us <= now_us)
-				dsp_run_give_up(run, FS_E_DEADLINE_QUEUED,
-						now_us);
+				dsp_run_refuse_queued(run, FS_E_DEADLINE_QUEUED,
+						      now_us);
 		}
 	}
 }
@@ -137,7 +137,8 @@
 	return usable & ~last ? last : 0;
 }
 
-uint32_t dsp_run_others(const struct dsp_run *run, bool same, int64_t now_us)
+uint32_t dsp_run_count_alternatives(const struct dsp_run *run, bool same,
+				    int64_t now_us)
 {
 	struct slt_server slots[FS_SHARD_SERVERS_MAX];
 	uint32_t last;
@@ -166,7 +167,7 @@
 	return choose(arg, run_of(item)) != FS_NONE;
 }
 
-void dsp_run_waiting(struct dsp_shard *shard, int64_t now_us)
+void dsp_run_start_queued(struct dsp_shard *shard, int64_t now_us)
 {
 	struct room room = {.shard = shard};
 
@@ -186,7 +187,7 @@
 			    slt_service_time(&dsp_route_of(run)->whole,
 					     run->allowed_us),
 			    run->deadline_us - now_us)) {
-			dsp_run_give_up(run, FS_E_WAIT_TOO_LONG, now_us);
+			dsp_run_refuse_queued(run, FS_E_WAIT_TOO_LONG, now_us);
 			continue;
 		}
 		i = choose(&room, run);
--- a/src/dsp_seen.c
+++ b/src/dsp_seen.c
@@ -91,7 +91,7 @@
 	while (seen->order.head) {
 		struct seen_id *s = seen->order.head->data;
 
-		if (now_us - s->at_us < DSP_SEEN_US)
+		if (now_us - s->at_us < DSP_SEEN_TTL_US)
 			return;
 		drop(seen, s);
 	}
--- a/src/dsp_seen.h
+++ b/src/dsp_seen.h
@@ -2,7 +2,7 @@
  * @file dsp_seen.h
  * @brief Request ids that a dispatcher has ended, so that none is run again.
  *
- * An id that has ended is remembered with its outcome for DSP_SEEN_US, at most
+ * An id that has ended is remembered with its outcome for DSP_SEEN_TTL_US, at most
  * DSP_SEEN_MAX of them, the oldest forgotten first. A request with such an id
  * is dropped.
  *
@@ -21,14 +21,14 @@
 
 #include "fs_types.h"
 
-#define DSP_SEEN_MAX 16384	/* ids remembered */
-#define DSP_SEEN_US 120000000LL /* for at most so long */
+#define DSP_SEEN_MAX 16384	    /* ids remembered */
+#define DSP_SEEN_TTL_US 120000000LL /* for at most so long */
 
 enum dsp_seen_state {
 	DSP_SEEN_NEVER,
 	DSP_SEEN_ENDED,	    /* its outcome is known */
-	DSP_SEEN_PASSED_ON, /* refused for another owner; may come forced */
-	DSP_SEEN_WITHDRAWN, /* cancelled before it came */
+	DSP_SEEN_NOT_OWNER, /* refused for another owner; may come forced */
+	DSP_SEEN_CANCELLED, /* cancelled before it came */
 };
 
 struct dsp_seen;
@@ -50,7 +50,7 @@
 				  const struct req_id *id,
 				  enum fs_outcome *outcome);
 
-/** Forgets ids that ended DSP_SEEN_US ago. */
+/** Forgets ids that ended DSP_SEEN_TTL_US ago. */
 void dsp_seen_expire(struct dsp_seen *seen, int64_t now_us);
 
 /** Hash and equality of struct req_id for GHashTable. */
--- a/src/dsp_shard.c
+++ b/src/dsp_shard.c
@@ -77,7 +77,7 @@
 			return NULL;
 		shard = shard_new(dsp, h, now_us);
 		g_hash_table_insert(dsp->shards, shard->key, shard);
-		dsp_judge_apply(shard, now_us);
+		dsp_health_apply_record(shard, now_us);
 	}
 	return shard;
 }
@@ -127,7 +127,7 @@
 		shard->rotate = old->rotate;
 		hlt_shard_copy_state(shard->hlt, dsp->cfg, old->hlt, old->cfg);
 		g_hash_table_insert(dsp->shards, shard->key, shard);
-		dsp_judge_apply(shard, now_us);
+		dsp_health_apply_record(shard, now_us);
 	}
 	move_runs(dsp, old, shard, orphans);
 	move_queue(old, shard);
@@ -161,7 +161,8 @@
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard))
 		rebuild_one(dsp, shard, orphans, now_us);
 	for (guint i = 0; i < orphans->len; i++)
-		dsp_run_give_up(orphans->pdata[i], FS_E_NOT_OWNER, now_us);
+		dsp_run_refuse_queued(orphans->pdata[i], FS_E_NOT_OWNER,
+				      now_us);
 	g_hash_table_iter_init(&iter, old);
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard))
 		dsp_shard_free(shard);
--- a/src/dsp_stream.c
+++ b/src/dsp_stream.c
@@ -26,7 +26,7 @@
 
 	while (waiting && run->sent < run->credit) {
 		size_t room = (size_t)(run->credit - run->sent);
-		size_t size = MIN(MIN(waiting, room), DSP_STREAM_PIECE);
+		size_t size = MIN(MIN(waiting, room), DSP_STREAM_PIECE_BYTES);
 
 		waiting -= size;
 		send_piece(run, size, run->ended && !waiting);
--- a/tests/unit_dsp_leave.c
+++ b/tests/unit_dsp_leave.c
@@ -52,9 +52,9 @@
 	scene_refused(&s, 3, FS_E_NO_TARGET, FS_NOT_RUN);
 	g_assert_cmpuint(work_of(s.fakes[0]), ==, 1);
 	scene_end(&s);
-	g_assert_true(dsp_drain_over(true, 0));
-	g_assert_true(dsp_drain_over(false, 30 * FS_US_PER_S));
-	g_assert_false(dsp_drain_over(false, 29 * FS_US_PER_S));
+	g_assert_true(dsp_drain_has_ended(true, 0));
+	g_assert_true(dsp_drain_has_ended(false, 30 * FS_US_PER_S));
+	g_assert_false(dsp_drain_has_ended(false, 29 * FS_US_PER_S));
 }
 
 static void test_told_leaving(void)
