--- a/src/cnf_leaving.c
+++ b/src/cnf_leaving.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define RANKS_TOLD 2 /* the dispatcher and its second choice */
+#define RECEIVER_RANKS 2 /* the dispatcher and its standby */
 
 /** The list of one poller. */
 struct poller {
@@ -67,8 +67,8 @@
 				g_strdup(g_ptr_array_index(servers, i)));
 }
 
-/* Drops lists that are older than the newest one by more than the lapse. */
-static void drop_lapsed(struct cnf_leaving *leaving, int64_t now_us)
+/* Drops lists more than CNF_LIST_EXPIRY_US older than the newest one. */
+static void drop_expired(struct cnf_leaving *leaving, int64_t now_us)
 {
 	int64_t newest_us = 0;
 
@@ -97,7 +97,7 @@
 {
 	GPtrArray *all = g_ptr_array_new_with_free_func(g_free);
 
-	drop_lapsed(leaving, now_us);
+	drop_expired(leaving, now_us);
 	for (guint i = 0; i < leaving->pollers->len; i++) {
 		const struct poller *poller =
 			g_ptr_array_index(leaving->pollers, i);
@@ -187,7 +187,8 @@
 		const struct shd_shard *shard =
 			server == FS_NONE ? NULL : shard_of(map, cfg, server);
 
-		for (uint32_t rank = 0; shard && rank < RANKS_TOLD; rank++) {
+		for (uint32_t rank = 0; shard && rank < RECEIVER_RANKS;
+		     rank++) {
 			node_id id = shd_owner(shard, view, rank);
 
 			if (id)
--- a/src/mem.c
+++ b/src/mem.c
@@ -13,8 +13,8 @@
 G_STATIC_ASSERT(SIG_SIZE == MEM_SIGNATURE_SIZE);
 G_STATIC_ASSERT(MEM_TICK_US == NODE_TICK_US);
 
-#define RECEIVE_BURST 256	     /* datagrams of one turn of the loop */
-#define RECEIVE_BUFFER (1024 * 1024) /* bytes, holds a burst of joins */
+#define RECEIVE_BURST 256	     /* datagrams per event-loop iteration */
+#define RECEIVE_BUFFER (1024 * 1024) /* bytes, absorbs a burst of joins */
 
 /** The membership task. */
 struct mem {
@@ -23,7 +23,7 @@
 	int fd;
 	ev_io io;
 	ev_timer start;
-	struct mem_view *view; /* the last one told */
+	struct mem_view *view; /* last one published */
 	handle sent, sent_bytes, received, received_bytes, refused;
 };
 
@@ -39,13 +39,13 @@
 	size += SIG_SIZE;
 	if (sendto(mem->fd, out, size, 0, (const struct sockaddr *)to,
 		   sizeof(*to)) < 0)
-		return; /* lost, as datagrams may be */
+		return; /* same as a lost datagram */
 	ctr_add(mem->node->ctr, mem->sent, 1);
 	ctr_add(mem->node->ctr, mem->sent_bytes, size);
 }
 
-/* Tells the configuration task of a member with a newer version. */
-static void tell_hint(struct mem *mem)
+/* Notifies the configuration task of a member with a newer version. */
+static void notify_config_hint(struct mem *mem)
 {
 	uint64_t version;
 	node_id id = mem_core_pop_hint(mem->core, &version);
@@ -59,7 +59,7 @@
 	bus_send(mem->node->bus, m);
 }
 
-static void tell_view(struct mem *mem)
+static void publish_view(struct mem *mem)
 {
 	struct mem_view *view;
 
@@ -72,8 +72,8 @@
 	bus_send_all(mem->node->bus, MSG_VIEW, view);
 }
 
-static void take_datagram(struct mem *mem, const uint8_t *data, size_t size,
-			  int64_t now_us)
+static void receive_datagram(struct mem *mem, const uint8_t *data, size_t size,
+			     int64_t now_us)
 {
 	ctr_add(mem->node->ctr, mem->received, 1);
 	ctr_add(mem->node->ctr, mem->received_bytes, size);
@@ -98,9 +98,9 @@
 		if (n < 0)
 			break;
 		if (n <= FS_DATAGRAM_MAX)
-			take_datagram(mem, data, (size_t)n, now_us);
+			receive_datagram(mem, data, (size_t)n, now_us);
 	}
-	tell_hint(mem);
+	notify_config_hint(mem);
 }
 
 static void on_tick(void *task, int64_t now_us)
@@ -108,7 +108,7 @@
 	struct mem *mem = task;
 
 	mem_core_tick(mem->core, now_us);
-	tell_view(mem);
+	publish_view(mem);
 }
 
 static struct mem_member describe_self(const struct node *node)
@@ -127,7 +127,7 @@
 	return self;
 }
 
-/* The addresses of all tasks are bound once the loop runs. */
+/* Runs in the first loop iteration: all tasks have bound their addresses. */
 static void on_start(struct ev_loop *loop, ev_timer *timer, int events)
 {
 	struct mem *mem = timer->data;
@@ -158,7 +158,7 @@
 					 at->len);
 	} else if (m->type == MSG_STOP) {
 		mem_core_leave(mem->core);
-		tell_view(mem);
+		publish_view(mem);
 	}
 }
 
@@ -193,7 +193,7 @@
 	return fd;
 }
 
-static void count_names(struct mem *mem)
+static void register_counters(struct mem *mem)
 {
 	struct ctr *ctr = mem->node->ctr;
 
@@ -217,7 +217,7 @@
 	mem = g_new0(struct mem, 1);
 	mem->node = node;
 	mem->fd = fd;
-	count_names(mem);
+	register_counters(mem);
 	bus_attach(node->bus, MSG_TASK_MEMBERS, &ops, mem);
 	node_add_status(node, "members", write_status, mem);
 	ev_io_init(&mem->io, on_datagram, fd, EV_READ);
--- a/src/mem_check.c
+++ b/src/mem_check.c
@@ -2,16 +2,18 @@
 
 #include "mem_core_priv.h"
 
-#define SUSPECT_FREE_LOG 6 /* up to 64 members the period does not grow */
-#define DIRECT_FAILURES 2  /* own pings in a row before the path is at fault */
-#define HELPERS_FAR 2	   /* of them in failure domains of neither end */
+/* The suspicion timeout grows with the logarithm of the member count, above
+ * 64 members. */
+#define SUSPICION_BASE_LOG2 6
+#define DIRECT_FAILURES_MAX 2 /* in a row: no direct path */
+#define FAR_RELAYS 2	      /* relays in a third failure domain */
 
 int64_t mem_suspicion_timeout_us(const struct mem_core *core)
 {
 	int log = 31 - __builtin_clz(core->table.present + 1);
 
 	return FS_SUSPECT_US +
-	       MAX(0, log - SUSPECT_FREE_LOG) * FS_GOSSIP_PERIOD_US;
+	       MAX(0, log - SUSPICION_BASE_LOG2) * FS_GOSSIP_PERIOD_US;
 }
 
 static struct mem_check *find_check(struct mem_core *core, node_id target)
@@ -54,16 +56,16 @@
 void mem_check_add_to_ring(struct mem_core *core, struct mem_node *node)
 {
 	guint later = core->ring->len - MIN(core->ring_next, core->ring->len);
-	guint place = core->ring->len - mem_random_below(core, later + 1);
+	guint position = core->ring->len - mem_random_below(core, later + 1);
 
 	if (node->in_ring)
 		return;
 	node->in_ring = true;
-	g_array_insert_val(core->ring, place, node->m.id);
+	g_array_insert_val(core->ring, position, node->m.id);
 }
 
-/* Returns the next present member of the round; dead ones are dropped. */
-static struct mem_node *next_of_ring(struct mem_core *core)
+/* Returns the next present member and removes dead ones from the ring. */
+static struct mem_node *next_in_ring(struct mem_core *core)
 {
 	bool restarted = false;
 
@@ -106,9 +108,10 @@
 	return NULL;
 }
 
-/* Sends a request to ping @p target to a member not yet asked. */
-static bool ask_helper(struct mem_core *core, const struct mem_check *check,
-		       const struct mem_node *target, bool far, GArray *asked)
+/* Sends a PING_REQ on @p target to an alive member that is not in @p relays. */
+static bool send_ping_req(struct mem_core *core, const struct mem_check *check,
+			  const struct mem_node *target, bool far,
+			  GArray *relays)
 {
 	guint n = core->table.nodes->len;
 	guint start = mem_random_below(core, n);
@@ -117,18 +120,18 @@
 		struct mem_node *node =
 			g_ptr_array_index(core->table.nodes, (start + i) % n);
 		struct mem_packet packet;
-		bool used = node == target || node == core->self ||
-			    node->m.state != MEM_ALIVE;
+		bool skipped = node == target || node == core->self ||
+			       node->m.state != MEM_ALIVE;
 
 		if (far && (!strcmp(node->m.domain, core->self->m.domain) ||
 			    !strcmp(node->m.domain, target->m.domain)))
 			continue;
-		for (guint k = 0; k < asked->len; k++)
-			used = used ||
-			       g_array_index(asked, node_id, k) == node->m.id;
-		if (used)
+		for (guint k = 0; k < relays->len; k++)
+			skipped = skipped || g_array_index(relays, node_id,
+							   k) == node->m.id;
+		if (skipped)
 			continue;
-		g_array_append_val(asked, node->m.id);
+		g_array_append_val(relays, node->m.id);
 		mem_send_begin(core, &packet, MEM_PING_REQ);
 		packet.sequence = check->sequence;
 		packet.subject = target->m.id;
@@ -138,18 +141,18 @@
 	return false;
 }
 
-/* A cut often concerns a failure domain, so that most helpers are chosen in
- * domains of neither end. */
-static void ask_helpers(struct mem_core *core, struct mem_check *check,
-			const struct mem_node *target)
+/* A partition often affects an entire failure domain, so FAR_RELAYS of the
+ * relays are preferably outside the domains of this node and of the target. */
+static void send_ping_reqs(struct mem_core *core, struct mem_check *check,
+			   const struct mem_node *target)
 {
-	g_autoptr(GArray) asked = g_array_new(FALSE, FALSE, sizeof(node_id));
+	g_autoptr(GArray) relays = g_array_new(FALSE, FALSE, sizeof(node_id));
 
 	check->indirect = true;
 	for (int i = 0; i < FS_GOSSIP_INDIRECT; i++)
-		if (i >= HELPERS_FAR ||
-		    !ask_helper(core, check, target, true, asked))
-			ask_helper(core, check, target, false, asked);
+		if (i >= FAR_RELAYS ||
+		    !send_ping_req(core, check, target, true, relays))
+			send_ping_req(core, check, target, false, relays);
 }
 
 static void set_direct(struct mem_core *core, struct mem_node *node,
@@ -161,23 +164,24 @@
 	core->changed = true;
 }
 
-/* Own pings failed. Others hear the member, or nobody does. */
-static void end_check(struct mem_core *core, struct mem_check *check,
-		      struct mem_node *node, int64_t now_us)
+/* Handles a check without a direct ack; without an indirect one either, the
+ * member becomes suspect. */
+static void fail_check(struct mem_core *core, struct mem_check *check,
+		       struct mem_node *node, int64_t now_us)
 {
 	node->direct_failures++;
 	node->recheck = true;
-	if (node->direct_failures >= DIRECT_FAILURES)
+	if (node->direct_failures >= DIRECT_FAILURES_MAX)
 		set_direct(core, node, false);
 	if (!check->relayed && node->m.state != MEM_SUSPECT)
 		mem_declare_state(core, node, MEM_SUSPECT, now_us);
 	check->target = 0;
 }
 
-/* Without any datagram from others since the ping, the fault may be here:
- * the judgement waits until this node has been deaf for a while. */
-static bool may_judge(const struct mem_core *core,
-		      const struct mem_check *check, int64_t now_us)
+/* If no datagram arrived since the ping, the fault may be local: the check then
+ * stays open until MEM_RX_TIMEOUT_US after the ping. */
+static bool may_conclude(const struct mem_core *core,
+			 const struct mem_check *check, int64_t now_us)
 {
 	return check->relayed || core->last_rx_us > check->sent_us ||
 	       now_us - check->sent_us > MEM_RX_TIMEOUT_US;
@@ -194,10 +198,10 @@
 		return;
 	}
 	if (waited_us >= FS_GOSSIP_ACK_US && !check->indirect)
-		ask_helpers(core, check, node);
+		send_ping_reqs(core, check, node);
 	if (waited_us >= FS_GOSSIP_ACK_US + MEM_INDIRECT_TIMEOUT_US &&
-	    may_judge(core, check, now_us))
-		end_check(core, check, node, now_us);
+	    may_conclude(core, check, now_us))
+		fail_check(core, check, node, now_us);
 }
 
 static void expire_suspects(struct mem_core *core, int64_t now_us)
@@ -224,7 +228,7 @@
 	if (now_us < core->next_ping_us)
 		return;
 	core->next_ping_us = now_us + FS_GOSSIP_PERIOD_US;
-	node = next_of_ring(core);
+	node = next_in_ring(core);
 	if (node)
 		start_check(core, node, now_us);
 	node = next_recheck(core);
@@ -246,9 +250,9 @@
 	core->next_ping_us = now_us + FS_GOSSIP_PERIOD_US;
 }
 
-/* Passes an answer on to the member that asked for the ping. */
-static void answer_relay(struct mem_core *core, const struct mem_packet *packet,
-			 int64_t now_us)
+/* Forwards an ack to the member that requested the ping. */
+static void forward_ack(struct mem_core *core, const struct mem_packet *packet,
+			int64_t now_us)
 {
 	for (guint i = 0; i < MEM_RELAYS_MAX; i++) {
 		struct mem_relay *relay = &core->relays[i];
@@ -275,7 +279,7 @@
 	struct mem_node *node = mem_table_find(&core->table, packet->subject);
 
 	if (packet->subject == packet->sender)
-		answer_relay(core, packet, now_us);
+		forward_ack(core, packet, now_us);
 	if (!check || !node || check->sequence != packet->sequence ||
 	    !packet->subject)
 		return;
--- a/src/mem_merge.c
+++ b/src/mem_merge.c
@@ -1,6 +1,6 @@
 #include "mem_core_priv.h"
 
-#define SUSPECT_PINGS 4 /* nodes that ask a suspect at once, on average */
+#define SUSPECT_PINGS_MEAN 4 /* mean number of nodes that ping a new suspect */
 
 static void set_state(struct mem_core *core, struct mem_node *node,
 		      enum mem_state state, int64_t now_us)
@@ -11,7 +11,7 @@
 		node->suspect_until_us =
 			now_us + mem_suspicion_timeout_us(core);
 	if (state == MEM_DEAD)
-		node->died_us = now_us;
+		node->dead_since_us = now_us;
 	mem_table_recount(&core->table);
 	core->changed = true;
 	core->changed_us = now_us;
@@ -21,7 +21,7 @@
 
 void mem_drop(struct mem_core *core, struct mem_node *node)
 {
-	g_ptr_array_remove(core->hot, node);
+	g_ptr_array_remove(core->pending, node);
 	mem_table_remove(&core->table, node);
 	core->changed = true;
 }
@@ -34,8 +34,8 @@
 		mem_send_enqueue(core, node, false);
 }
 
-/* Denies that this node is suspect or dead. A process that replaced one with
- * a later clock goes past the incarnation of its predecessor. */
+/* Refutes that this node is suspect or dead. If the clock of the predecessor
+ * process was ahead, this node takes an incarnation above the predecessor's. */
 static void merge_self(struct mem_core *core, const struct mem_update *update)
 {
 	struct mem_node *self = core->self;
@@ -78,8 +78,8 @@
 	return false;
 }
 
-static void take_full(struct mem_core *core, struct mem_node *node,
-		      const struct mem_update *update)
+static void apply_full(struct mem_core *core, struct mem_node *node,
+		       const struct mem_update *update)
 {
 	bool direct = node->m.direct;
 	uint64_t version = node->m.config_version;
@@ -96,10 +96,10 @@
 	core->table.digest_stale = true;
 }
 
-/* A few nodes ask a member at once that others call suspect. */
-static void ask_suspect(struct mem_core *core, struct mem_node *node)
+/* Pings a member that was reported as suspect, on a random few nodes only. */
+static void ping_suspect(struct mem_core *core, struct mem_node *node)
 {
-	if (mem_random_below(core, core->table.present) < SUSPECT_PINGS)
+	if (mem_random_below(core, core->table.present) < SUSPECT_PINGS_MEAN)
 		mem_send_ping(core, node, ++core->sequence);
 }
 
@@ -128,11 +128,11 @@
 	if (update->incarnation > node->m.incarnation && !update->full)
 		return update->state != MEM_DEAD;
 	if (update->full)
-		take_full(core, node, update);
+		apply_full(core, node, update);
 	node->refutation = update->refutation;
 	set_state(core, node, update->state, now_us);
 	mem_send_enqueue(core, node, update->full);
 	if (update->state == MEM_SUSPECT)
-		ask_suspect(core, node);
+		ping_suspect(core, node);
 	return false;
 }
--- a/tests/prop_mem.cpp
+++ b/tests/prop_mem.cpp
@@ -1,12 +1,12 @@
-// Properties of membership updates: their order, their encoding, and that the
-// order in which they arrive does not matter.
+// Properties of membership updates: strict order, decoding of mutated
+// datagrams, and a result that is independent of the order of arrival.
 #include <rapidcheck.h>
 
 #include <algorithm>
 #include <string>
 #include <vector>
 
-// The C headers have members of that name.
+// The C headers have members named operator, a C++ keyword.
 #define operator operator_address
 extern "C" {
 #include "mem_core.h"
@@ -43,7 +43,7 @@
 			      rc::gen::inRange(0, 4));
 }
 
-bool updates_are_in_a_strict_order()
+bool updates_have_a_strict_order()
 {
 	return rc::check("updates on a member are in a strict order", [] {
 		auto a = *gen_update(1);
@@ -88,8 +88,8 @@
 	return core;
 }
 
-// Dead members that were never known leave no trace, so that the comparison is
-// of those present.
+// Updates on unknown members that are dead are not stored, so only present
+// members are compared.
 std::string present(mem_core *core)
 {
 	mem_view *view = mem_core_peek(core);
@@ -107,9 +107,9 @@
 	return text;
 }
 
-// Each member is told of as alive first; whatever comes after that, in
-// whatever order, ends in the same table.
-bool any_order_gives_the_same_table()
+// Each member is first reported as alive; later updates give the same table in
+// any order.
+bool update_order_does_not_matter()
 {
 	return rc::check("any order of updates gives the same table", [] {
 		std::vector<mem_update> first;
@@ -127,16 +127,16 @@
 		first.insert(first.end(), shuffled.begin(), shuffled.end());
 		mem_core *a = core_with(all);
 		mem_core *b = core_with(first);
-		std::string held_by_a = present(a);
-		std::string held_by_b = present(b);
+		std::string table_a = present(a);
+		std::string table_b = present(b);
 
 		mem_core_free(a);
 		mem_core_free(b);
-		RC_ASSERT(held_by_a == held_by_b);
+		RC_ASSERT(table_a == table_b);
 	});
 }
 
-bool mutated_datagrams_are_survived()
+bool mutated_datagrams_are_rejected_or_harmless()
 {
 	return rc::check("a mutated datagram is refused or harmless", [] {
 		auto update = *gen_update(4);
@@ -166,9 +166,9 @@
 
 int main()
 {
-	bool ok = updates_are_in_a_strict_order();
+	bool ok = updates_have_a_strict_order();
 
-	ok = any_order_gives_the_same_table() && ok;
-	ok = mutated_datagrams_are_survived() && ok;
+	ok = update_order_does_not_matter() && ok;
+	ok = mutated_datagrams_are_rejected_or_harmless() && ok;
 	return ok ? 0 : 1;
 }
--- a/tests/unit_mem.c
+++ b/tests/unit_mem.c
@@ -1,13 +1,14 @@
-/* The membership's state machine under kills, cuts, pauses and loss, in
- * virtual time. */
+/* The membership state machine under crashes, partitions, pauses and packet
+ * loss, in virtual time. */
 #include "mem_sim.h"
 
-#define DETECT_MS 6000 /* a killed node is no longer alive to anybody */
+#define DETECT_MS 6000 /* no node sees a killed one as alive */
 #define DEAD_MS 15000
-#define LEAVING_MS 500 /* nobody picks it long before answers expire */
-#define CONFIG_MS 6000 /* in force everywhere, by the letter */
+#define LEAVING_MS 500 /* well before cached resolve answers expire */
+#define CONFIG_MS 6000 /* target for a new version on all nodes */
 
-static struct sim *settled(uint32_t count, uint32_t regions, uint32_t domains)
+static struct sim *new_converged(uint32_t count, uint32_t regions,
+				 uint32_t domains)
 {
 	struct sim *sim = sim_new(count, regions, domains, count);
 
@@ -16,9 +17,9 @@
 	return sim;
 }
 
-/* Steps through @p ms and asserts that no running node ever holds another
- * running one otherwise than alive; nodes below @p from are not asked. */
-static void run_without_accusation(struct sim *sim, int64_t ms, uint32_t from)
+/* Runs for @p ms and asserts that each node from @p from on sees all nodes as
+ * alive throughout. */
+static void run_without_suspicion(struct sim *sim, int64_t ms, uint32_t from)
 {
 	for (int64_t end = sim->now_ms + ms; sim->now_ms < end;) {
 		sim_run(sim, 100);
@@ -28,23 +29,23 @@
 	}
 }
 
-static void test_idle_is_quiet(void)
+static void test_idle_has_no_suspicion(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
-	run_without_accusation(sim, 120000, 0);
+	run_without_suspicion(sim, 120000, 0);
 	sim_free(sim);
 }
 
-static void test_kill_is_seen_by_all(void)
+static void test_kill_is_detected_by_all(void)
 {
-	struct sim *sim = settled(48, 1, 3);
-	int64_t suspected_ms;
+	struct sim *sim = new_converged(48, 1, 3);
+	int64_t killed_ms;
 
 	sim->nodes[7].down = true;
-	suspected_ms = sim->now_ms;
+	killed_ms = sim->now_ms;
 	while (sim_count_state(sim, 7, MEM_ALIVE) &&
-	       sim->now_ms - suspected_ms < DETECT_MS)
+	       sim->now_ms - killed_ms < DETECT_MS)
 		sim_run(sim, 100);
 	g_assert_cmpuint(sim_count_state(sim, 7, MEM_ALIVE), ==, 0);
 	sim_run_until(sim, 7, MEM_DEAD, 47, DEAD_MS);
@@ -53,10 +54,10 @@
 	sim_free(sim);
 }
 
-/* With two nodes nobody else can be asked. */
+/* With two nodes there are no relays for indirect pings. */
 static void test_kill_of_the_only_peer(void)
 {
-	struct sim *sim = settled(2, 1, 2);
+	struct sim *sim = new_converged(2, 1, 2);
 
 	sim->nodes[1].down = true;
 	sim_run_until(sim, 1, MEM_DEAD, 1, DEAD_MS);
@@ -69,7 +70,7 @@
 
 static void test_restart_supersedes(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->nodes[4].down = true;
 	sim_run(sim, 500);
@@ -79,10 +80,10 @@
 	sim_free(sim);
 }
 
-/* A VM whose clock lies behind that of the one it replaces. */
+/* The clock of a replacement VM is behind that of its predecessor. */
 static void test_restart_with_an_older_clock(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->nodes[4].down = true;
 	sim_run_until(sim, 4, MEM_DEAD, 15, DEAD_MS);
@@ -100,15 +101,15 @@
 
 static void test_one_way_cut_of_a_pair(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 	bool direct = true;
 
 	sim->lost = lose_one_to_two;
-	run_without_accusation(sim, 120000, 0);
+	run_without_suspicion(sim, 120000, 0);
 	g_assert_cmpint(sim_state(sim, 1, 2, &direct), ==, MEM_ALIVE);
 	g_assert_false(direct);
 	sim->lost = NULL;
-	run_without_accusation(sim, 2500, 0);
+	run_without_suspicion(sim, 2500, 0);
 	sim_state(sim, 1, 2, &direct);
 	g_assert_true(direct);
 	sim_free(sim);
@@ -122,10 +123,10 @@
 
 static void test_one_way_cut_between_domains(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
 	sim->lost = lose_domain_a_to_b;
-	run_without_accusation(sim, 180000, 0);
+	run_without_suspicion(sim, 180000, 0);
 	sim_free(sim);
 }
 
@@ -136,9 +137,10 @@
 	return to == 0;
 }
 
-/* Accusations go to the accused only. */
-static void no_accusation(struct sim *sim, uint32_t from, uint32_t to,
-			  const struct mem_packet *packet)
+/* A suspicion may be sent only to the suspect itself. */
+static void assert_accuses_receiver_only(struct sim *sim, uint32_t from,
+					 uint32_t to,
+					 const struct mem_packet *packet)
 {
 	for (guint i = 0; from == 0 && i < packet->updates->len; i++) {
 		const struct mem_update *u =
@@ -149,14 +151,14 @@
 	}
 }
 
-/* A node that hears nobody, but is heard: no other may be disturbed. */
-static void test_deaf_node_accuses_nobody_else(void)
+/* A node that sends but receives nothing must not make others suspect. */
+static void test_receive_loss_suspects_no_other(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->lost = lose_to_zero;
 	sim_run(sim, 1200); /* pings from before the cut */
-	sim->inspect = no_accusation;
+	sim->inspect = assert_accuses_receiver_only;
 	for (int i = 0; i < 600; i++) {
 		sim_run(sim, 100);
 		for (uint32_t k = 2; k < sim->count; k++)
@@ -177,11 +179,11 @@
 		      sim->nodes[to].self.region) != 0;
 }
 
-/* Two regions apart for an hour: each goes on alone and undisturbed, and they
- * find each other again. */
+/* Two regions partitioned for an hour: each keeps all its members alive, and
+ * the regions merge again afterwards. */
 static void test_regions_apart_for_an_hour(void)
 {
-	struct sim *sim = settled(16, 2, 3);
+	struct sim *sim = new_converged(16, 2, 3);
 
 	sim->lost = lose_across_regions;
 	sim_run(sim, 60000);
@@ -204,10 +206,10 @@
 	sim_free(sim);
 }
 
-/* A stopped process is taken for dead; when it goes on it accuses nobody. */
-static void test_paused_node_accuses_nobody(void)
+/* A stopped process is declared dead; after it resumes it suspects no other. */
+static void test_paused_node_suspects_no_other(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->drop_waiting = true;
 	sim->nodes[3].paused = true;
@@ -232,10 +234,10 @@
 	pinged = pinged || (from == 3 && packet->type == MEM_PING);
 }
 
-/* Stopped in the middle of its pings, each time. */
-static void test_short_pauses_accuse_nobody(void)
+/* Each pause begins while a ping is outstanding. */
+static void test_short_pauses_suspect_no_other(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	for (int i = 0; i < 50; i++) {
 		sim->drop_waiting = i % 2;
@@ -254,10 +256,10 @@
 	sim_free(sim);
 }
 
-/* Silent for less time than a suspect has: nobody may take it for dead. */
-static void test_short_silence_is_not_death(void)
+/* A pause shorter than the suspicion timeout: no node may declare it dead. */
+static void test_short_pause_is_not_dead(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	for (int i = 0; i < 10; i++) {
 		sim->nodes[3].paused = true;
@@ -273,10 +275,10 @@
 	sim_free(sim);
 }
 
-/* A node paused while it suspects another hears nothing of the denial. */
-static void test_suspects_outlive_a_pause(void)
+/* A node that is paused while it suspects another misses the refutation. */
+static void test_pause_extends_suspicion(void)
 {
-	struct sim *sim = settled(16, 1, 3);
+	struct sim *sim = new_converged(16, 1, 3);
 
 	sim->drop_waiting = true;
 	sim->nodes[3].paused = true;
@@ -294,9 +296,9 @@
 	sim_free(sim);
 }
 
-static void test_leaving_is_told_at_once(void)
+static void test_leaving_is_broadcast_at_once(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
 	mem_core_leave(sim->nodes[9].core);
 	sim_run(sim, LEAVING_MS);
@@ -313,9 +315,9 @@
 	return sim_random(sim) % 100 < 5;
 }
 
-static void test_loss_kills_nobody(void)
+static void test_loss_declares_nobody_dead(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
 	sim->lost = lose_some;
 	for (int i = 0; i < 3000; i++) {
@@ -327,9 +329,9 @@
 	sim_free(sim);
 }
 
-static void test_config_is_everywhere_in_time(void)
+static void test_config_propagation_delay(void)
 {
-	struct sim *sim = settled(48, 1, 3);
+	struct sim *sim = new_converged(48, 1, 3);
 
 	for (uint64_t version = 1; version <= 20; version++) {
 		uint32_t first = (uint32_t)sim_random(sim) % 48;
@@ -344,9 +346,9 @@
 	sim_free(sim);
 }
 
-static void test_malformed_is_refused(void)
+static void test_malformed_is_rejected(void)
 {
-	struct sim *sim = settled(2, 1, 1);
+	struct sim *sim = new_converged(2, 1, 1);
 	uint8_t data[FS_DATAGRAM_MAX];
 
 	for (int i = 0; i < 20000; i++) {
@@ -354,7 +356,7 @@
 
 		for (size_t k = 0; k < size; k++)
 			data[k] = (uint8_t)sim_random(sim);
-		data[0] = 0x9e; /* an array, to get further */
+		data[0] = 0x9e; /* array of 14, to get past the type check */
 		g_assert_cmpint(mem_core_receive(sim->nodes[0].core, data, size,
 						 sim_us(sim)),
 				==, FS_E_PROTOCOL);
@@ -366,8 +368,8 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/mem/idle", test_idle_is_quiet);
-	g_test_add_func("/mem/kill", test_kill_is_seen_by_all);
+	g_test_add_func("/mem/idle", test_idle_has_no_suspicion);
+	g_test_add_func("/mem/kill", test_kill_is_detected_by_all);
 	g_test_add_func("/mem/kill_only_peer", test_kill_of_the_only_peer);
 	g_test_add_func("/mem/restart", test_restart_supersedes);
 	g_test_add_func("/mem/restart_old_clock",
@@ -375,16 +377,17 @@
 	g_test_add_func("/mem/one_way_pair", test_one_way_cut_of_a_pair);
 	g_test_add_func("/mem/one_way_domains",
 			test_one_way_cut_between_domains);
-	g_test_add_func("/mem/deaf", test_deaf_node_accuses_nobody_else);
+	g_test_add_func("/mem/receive_loss",
+			test_receive_loss_suspects_no_other);
 	g_test_add_func("/mem/regions_apart", test_regions_apart_for_an_hour);
-	g_test_add_func("/mem/paused", test_paused_node_accuses_nobody);
-	g_test_add_func("/mem/paused_shortly", test_short_pauses_accuse_nobody);
-	g_test_add_func("/mem/short_silence", test_short_silence_is_not_death);
-	g_test_add_func("/mem/paused_suspecting",
-			test_suspects_outlive_a_pause);
-	g_test_add_func("/mem/leaving", test_leaving_is_told_at_once);
-	g_test_add_func("/mem/loss", test_loss_kills_nobody);
-	g_test_add_func("/mem/config", test_config_is_everywhere_in_time);
-	g_test_add_func("/mem/malformed", test_malformed_is_refused);
+	g_test_add_func("/mem/paused", test_paused_node_suspects_no_other);
+	g_test_add_func("/mem/paused_shortly",
+			test_short_pauses_suspect_no_other);
+	g_test_add_func("/mem/short_pause", test_short_pause_is_not_dead);
+	g_test_add_func("/mem/paused_suspecting", test_pause_extends_suspicion);
+	g_test_add_func("/mem/leaving", test_leaving_is_broadcast_at_once);
+	g_test_add_func("/mem/loss", test_loss_declares_nobody_dead);
+	g_test_add_func("/mem/config", test_config_propagation_delay);
+	g_test_add_func("/mem/malformed", test_malformed_is_rejected);
 	return g_test_run();
 }
