--- a/src/lnk.c
+++ b/src/lnk.c
@@ -9,14 +9,14 @@
 
 static bool may_accept(const struct lnk *lnk)
 {
-	guint unproven = 0;
+	guint handshakes = 0;
 
 	for (guint i = 0; i < lnk->in->len; i++) {
 		const struct lnk_in *in = g_ptr_array_index(lnk->in, i);
 
-		unproven += in->state != LNK_UP;
+		handshakes += in->state != LNK_UP;
 	}
-	return lnk->in->len < LNK_IN_MAX && unproven < LNK_UNPROVEN_MAX;
+	return lnk->in->len < LNK_IN_MAX && handshakes < LNK_HANDSHAKES_MAX;
 }
 
 static void on_accept(struct ev_loop *loop, ev_io *io, int events)
@@ -34,20 +34,20 @@
 			lnk_in_new(lnk, fd, &address, fs_now_us());
 			continue;
 		}
-		lnk_tell_end(lnk, "in", 0, &address, "too_many");
+		lnk_log_end(lnk, "in", 0, &address, "too_many");
 		close(fd);
 	}
 }
 
 /* A pause of this process is not a silence of its peers: all clocks of the
  * links move on by the time that was missed. */
-static void skip_pause(struct lnk *lnk, int64_t now_us)
+static void compensate_stall(struct lnk *lnk, int64_t now_us)
 {
-	int64_t missed = now_us - lnk->ticked_us - FS_LINK_HEARTBEAT_US;
+	int64_t missed = now_us - lnk->last_tick_us - FS_LINK_HEARTBEAT_US;
 	GHashTableIter iter;
 	void *value;
 
-	lnk->ticked_us = now_us;
+	lnk->last_tick_us = now_us;
 	if (missed < FS_LINK_HEARTBEAT_US)
 		return;
 	g_hash_table_iter_init(&iter, lnk->out);
@@ -73,7 +73,7 @@
 
 	(void)loop;
 	(void)events;
-	skip_pause(lnk, now_us);
+	compensate_stall(lnk, now_us);
 	for (GList *l = all; l; l = l->next)
 		lnk_out_tick(l->data, now_us);
 	for (guint i = lnk->in->len; i-- > 0;)
@@ -114,8 +114,8 @@
 	}
 	ctr_count(lnk->node->ctr, "lnk_no_address", 1);
 	if (m->type == MSG_REQUEST)
-		lnk_tell_not_run(lnk, m->to, &m->request.id);
-	lnk_tell_down(lnk, m->to);
+		lnk_refuse_not_run(lnk, m->to, &m->request.id);
+	lnk_notify_down(lnk, m->to);
 	msg_free(m);
 }
 
@@ -159,7 +159,7 @@
 	ev_prepare_init(&lnk->flush, on_prepare);
 	lnk->flush.data = lnk;
 	ev_prepare_start(loop, &lnk->flush);
-	lnk->ticked_us = fs_now_us();
+	lnk->last_tick_us = fs_now_us();
 }
 
 struct lnk *lnk_new(struct node *node)
--- a/src/lnk_hello.c
+++ b/src/lnk_hello.c
@@ -21,13 +21,14 @@
 	msgpack_pack_array(&w->packer, members);
 }
 
-static void put_raw(struct msg_writer *w, const uint8_t *data, size_t size)
+static void put_fixed_bytes(struct msg_writer *w, const uint8_t *data,
+			    size_t size)
 {
 	msgpack_pack_bin(&w->packer, size);
 	msgpack_pack_bin_body(&w->packer, data, size);
 }
 
-void lnk_nonce(uint8_t nonce[LNK_NONCE_SIZE])
+void lnk_nonce_fill(uint8_t nonce[LNK_NONCE_SIZE])
 {
 	if (getrandom(nonce, LNK_NONCE_SIZE, 0) != LNK_NONCE_SIZE)
 		g_error("the system gives no random numbers");
@@ -42,7 +43,7 @@
 	msg_put_u64(&w, hello->incarnation);
 	msg_put_u64(&w, hello->serial);
 	msg_put_u64(&w, hello->to);
-	put_raw(&w, hello->nonce, LNK_NONCE_SIZE);
+	put_fixed_bytes(&w, hello->nonce, LNK_NONCE_SIZE);
 }
 
 void lnk_challenge_write(const struct lnk_challenge *challenge, GByteArray *out)
@@ -52,16 +53,16 @@
 	begin(&w, out, LNK_CHALLENGE, 4);
 	msg_put_text(&w, challenge->name);
 	msg_put_u64(&w, challenge->incarnation);
-	put_raw(&w, challenge->nonce, LNK_NONCE_SIZE);
-	put_raw(&w, challenge->code, SIG_SIZE);
+	put_fixed_bytes(&w, challenge->nonce, LNK_NONCE_SIZE);
+	put_fixed_bytes(&w, challenge->mac, SIG_SIZE);
 }
 
-void lnk_proof_write(const uint8_t code[SIG_SIZE], GByteArray *out)
+void lnk_proof_write(const uint8_t mac[SIG_SIZE], GByteArray *out)
 {
 	struct msg_writer w;
 
 	begin(&w, out, LNK_PROOF, 1);
-	put_raw(&w, code, SIG_SIZE);
+	put_fixed_bytes(&w, mac, SIG_SIZE);
 }
 
 static void get_name(struct msg_reader *r, char out[FS_NAME_MAX])
@@ -74,7 +75,7 @@
 		g_strlcpy(out, name, FS_NAME_MAX);
 }
 
-static void get_raw(struct msg_reader *r, uint8_t *out, size_t size)
+static void get_fixed_bytes(struct msg_reader *r, uint8_t *out, size_t size)
 {
 	GBytes *bytes = msg_get_bytes(r);
 
@@ -93,7 +94,7 @@
 	hello->incarnation = msg_get_u64(r, UINT64_MAX);
 	hello->serial = msg_get_u64(r, UINT64_MAX);
 	hello->to = msg_get_u64(r, UINT64_MAX);
-	get_raw(r, hello->nonce, LNK_NONCE_SIZE);
+	get_fixed_bytes(r, hello->nonce, LNK_NONCE_SIZE);
 }
 
 static void read_challenge(struct msg_reader *r, void *out)
@@ -102,13 +103,13 @@
 
 	get_name(r, challenge->name);
 	challenge->incarnation = msg_get_u64(r, UINT64_MAX);
-	get_raw(r, challenge->nonce, LNK_NONCE_SIZE);
-	get_raw(r, challenge->code, SIG_SIZE);
+	get_fixed_bytes(r, challenge->nonce, LNK_NONCE_SIZE);
+	get_fixed_bytes(r, challenge->mac, SIG_SIZE);
 }
 
 static void read_proof(struct msg_reader *r, void *out)
 {
-	get_raw(r, out, SIG_SIZE);
+	get_fixed_bytes(r, out, SIG_SIZE);
 }
 
 /* Unpacks the array of a handshake frame and gives its members to @p read. */
@@ -145,16 +146,15 @@
 	return read_frame(data, size, read_challenge, out);
 }
 
-int lnk_proof_read(const uint8_t *data, size_t size, uint8_t code[SIG_SIZE])
+int lnk_proof_read(const uint8_t *data, size_t size, uint8_t mac[SIG_SIZE])
 {
-	return read_frame(data, size, read_proof, code);
+	return read_frame(data, size, read_proof, mac);
 }
 
 /* What both ends sign: the label of the end, then both first frames without
  * the code. */
-static GByteArray *signed_bytes(enum lnk_side side,
-				const struct lnk_hello *hello,
-				const struct lnk_challenge *challenge)
+static GByteArray *mac_input(enum lnk_side side, const struct lnk_hello *hello,
+			     const struct lnk_challenge *challenge)
 {
 	static const char *const labels[] = {
 		[LNK_OPENER] = "fescuesaddle link opener",
@@ -163,7 +163,7 @@
 	struct lnk_challenge bare = *challenge;
 	GByteArray *bytes = g_byte_array_new();
 
-	memset(bare.code, 0, sizeof(bare.code));
+	memset(bare.mac, 0, sizeof(bare.mac));
 	g_byte_array_append(bytes, (const guint8 *)labels[side],
 			    (guint)strlen(labels[side]) + 1);
 	lnk_hello_write(hello, bytes);
@@ -171,20 +171,20 @@
 	return bytes;
 }
 
-int lnk_code(const char *key, enum lnk_side side, const struct lnk_hello *hello,
-	     const struct lnk_challenge *challenge, uint8_t out[SIG_SIZE])
+int lnk_mac(const char *key, enum lnk_side side, const struct lnk_hello *hello,
+	    const struct lnk_challenge *challenge, uint8_t out[SIG_SIZE])
 {
-	g_autoptr(GByteArray) bytes = signed_bytes(side, hello, challenge);
+	g_autoptr(GByteArray) bytes = mac_input(side, hello, challenge);
 
 	return sig_sign(key, bytes->data, bytes->len, out);
 }
 
-bool lnk_code_check(const char *key, enum lnk_side side,
+bool lnk_mac_verify(const char *key, enum lnk_side side,
 		    const struct lnk_hello *hello,
 		    const struct lnk_challenge *challenge,
-		    const uint8_t code[SIG_SIZE])
+		    const uint8_t mac[SIG_SIZE])
 {
-	g_autoptr(GByteArray) bytes = signed_bytes(side, hello, challenge);
+	g_autoptr(GByteArray) bytes = mac_input(side, hello, challenge);
 
-	return sig_check(key, bytes->data, bytes->len, code);
+	return sig_check(key, bytes->data, bytes->len, mac);
 }
--- a/src/lnk_hello.h
+++ b/src/lnk_hello.h
@@ -45,23 +45,23 @@
 	char name[FS_NAME_MAX];
 	uint64_t incarnation;
 	uint8_t nonce[LNK_NONCE_SIZE];
-	uint8_t code[SIG_SIZE];
+	uint8_t mac[SIG_SIZE];
 };
 
 /** Fills in a fresh nonce. */
-void lnk_nonce(uint8_t nonce[LNK_NONCE_SIZE]);
+void lnk_nonce_fill(uint8_t nonce[LNK_NONCE_SIZE]);
 
 /** Appends one payload, its kind first, without a frame. */
 void lnk_hello_write(const struct lnk_hello *hello, GByteArray *out);
 void lnk_challenge_write(const struct lnk_challenge *challenge,
 			 GByteArray *out);
-void lnk_proof_write(const uint8_t code[SIG_SIZE], GByteArray *out);
+void lnk_proof_write(const uint8_t mac[SIG_SIZE], GByteArray *out);
 
 /** Reads a payload after its kind. @return 0 or FS_E_PROTOCOL */
 int lnk_hello_read(const uint8_t *data, size_t size, struct lnk_hello *out);
 int lnk_challenge_read(const uint8_t *data, size_t size,
 		       struct lnk_challenge *out);
-int lnk_proof_read(const uint8_t *data, size_t size, uint8_t code[SIG_SIZE]);
+int lnk_proof_read(const uint8_t *data, size_t size, uint8_t mac[SIG_SIZE]);
 
 /** Which end computes a code. */
 enum lnk_side {
@@ -70,13 +70,13 @@
 };
 
 /** Computes the code of one end. @return 0 or FS_E_INVALID */
-int lnk_code(const char *key, enum lnk_side side, const struct lnk_hello *hello,
-	     const struct lnk_challenge *challenge, uint8_t out[SIG_SIZE]);
+int lnk_mac(const char *key, enum lnk_side side, const struct lnk_hello *hello,
+	    const struct lnk_challenge *challenge, uint8_t out[SIG_SIZE]);
 
 /** Returns whether a code is that of the given end. */
-bool lnk_code_check(const char *key, enum lnk_side side,
+bool lnk_mac_verify(const char *key, enum lnk_side side,
 		    const struct lnk_hello *hello,
 		    const struct lnk_challenge *challenge,
-		    const uint8_t code[SIG_SIZE]);
+		    const uint8_t mac[SIG_SIZE]);
 
 #endif
--- a/src/lnk_in.c
+++ b/src/lnk_in.c
@@ -12,7 +12,7 @@
 
 static void end(struct lnk_in *in, const char *reason)
 {
-	lnk_tell_end(in->lnk, "in", in->peer, &in->address, reason);
+	lnk_log_end(in->lnk, "in", in->peer, &in->address, reason);
 	g_ptr_array_remove_fast(in->lnk->in, in);
 	lnk_in_free(in);
 }
@@ -30,28 +30,27 @@
 static const char *flush(struct lnk_in *in)
 {
 	while (in->output->len) {
-		ssize_t taken = send(in->fd, in->output->data, in->output->len,
-				     MSG_NOSIGNAL | MSG_DONTWAIT);
+		ssize_t sent = send(in->fd, in->output->data, in->output->len,
+				    MSG_NOSIGNAL | MSG_DONTWAIT);
 
-		if (taken < 0 && errno == EINTR)
+		if (sent < 0 && errno == EINTR)
 			continue;
-		if (taken < 0 && errno == EAGAIN) {
+		if (sent < 0 && errno == EAGAIN) {
 			watch(in, EV_READ | EV_WRITE);
 			return in->output->len > OUTPUT_MAX ? "output_full" :
 							      NULL;
 		}
-		if (taken < 0)
+		if (sent < 0)
 			return "write_failed";
-		ctr_add(in->lnk->node->ctr, in->lnk->bytes_out,
-			(uint64_t)taken);
-		g_byte_array_remove_range(in->output, 0, (guint)taken);
+		ctr_add(in->lnk->node->ctr, in->lnk->bytes_out, (uint64_t)sent);
+		g_byte_array_remove_range(in->output, 0, (guint)sent);
 	}
 	watch(in, EV_READ);
 	return NULL;
 }
 
 /* A known node connects from the address it is known by. */
-static bool address_fits(const struct lnk_in *in, node_id peer)
+static bool address_matches(const struct lnk_in *in, node_id peer)
 {
 	const struct mem_member *member =
 		in->lnk->view ? mem_view_find(in->lnk->view, peer) : NULL;
@@ -60,8 +59,8 @@
 	       member->peer.sin_addr.s_addr == in->address.sin_addr.s_addr;
 }
 
-static const char *take_hello(struct lnk_in *in, const uint8_t *data,
-			      size_t size)
+static const char *handle_hello(struct lnk_in *in, const uint8_t *data,
+				size_t size)
 {
 	struct node *node = in->lnk->node;
 	size_t start;
@@ -73,13 +72,13 @@
 		return "wrong_receiver";
 	if (fs_node_id(in->hello.name) == node->self)
 		return "own_name";
-	if (!address_fits(in, fs_node_id(in->hello.name)))
+	if (!address_matches(in, fs_node_id(in->hello.name)))
 		return "wrong_address";
 	g_strlcpy(in->challenge.name, node->set.name, FS_NAME_MAX);
 	in->challenge.incarnation = node->incarnation;
-	lnk_nonce(in->challenge.nonce);
-	if (lnk_code(node->set.fleet_key, LNK_ACCEPTOR, &in->hello,
-		     &in->challenge, in->challenge.code))
+	lnk_nonce_fill(in->challenge.nonce);
+	if (lnk_mac(node->set.fleet_key, LNK_ACCEPTOR, &in->hello,
+		    &in->challenge, in->challenge.mac))
 		return "no_key";
 	start = frm_begin(in->output);
 	lnk_challenge_write(&in->challenge, in->output);
@@ -91,7 +90,7 @@
 /* Closes the older connections of a node. What the kernel still holds of them
  * is not read: the peer has given them up, and a cancel on the new connection
  * must not be followed by its request on an old one. */
-static void close_older(struct lnk_in *in)
+static void close_superseded(struct lnk_in *in)
 {
 	GPtrArray *all = in->lnk->in;
 
@@ -125,26 +124,26 @@
 	return true;
 }
 
-static const char *take_proof(struct lnk_in *in, const uint8_t *data,
-			      size_t size)
+static const char *handle_proof(struct lnk_in *in, const uint8_t *data,
+				size_t size)
 {
 	const char *key = in->lnk->node->set.fleet_key;
-	uint8_t code[SIG_SIZE];
+	uint8_t mac[SIG_SIZE];
 
-	if (in->state != LNK_HANDSHAKE || lnk_proof_read(data, size, code))
+	if (in->state != LNK_HANDSHAKE || lnk_proof_read(data, size, mac))
 		return "protocol";
-	if (!lnk_code_check(key, LNK_OPENER, &in->hello, &in->challenge, code))
+	if (!lnk_mac_verify(key, LNK_OPENER, &in->hello, &in->challenge, mac))
 		return "peer_not_proven";
 	in->peer = fs_node_id(in->hello.name);
 	if (!is_newest(in))
 		return "older_than_known";
-	close_older(in);
+	close_superseded(in);
 	in->state = LNK_UP;
 	return NULL;
 }
 
-static const char *take_message(struct lnk_in *in, const uint8_t *data,
-				size_t size)
+static const char *handle_message(struct lnk_in *in, const uint8_t *data,
+				  size_t size)
 {
 	struct node *node = in->lnk->node;
 	struct msg *m;
@@ -158,7 +157,7 @@
 	return NULL;
 }
 
-static const char *take_ping(struct lnk_in *in, size_t size)
+static const char *handle_ping(struct lnk_in *in, size_t size)
 {
 	uint8_t kind = LNK_PONG;
 	size_t start;
@@ -172,18 +171,18 @@
 }
 
 /* Returns why the link must be closed, or NULL. */
-static const char *take_frame(struct lnk_in *in, const uint8_t *data,
-			      size_t size)
+static const char *handle_frame(struct lnk_in *in, const uint8_t *data,
+				size_t size)
 {
 	switch (data[0]) {
 	case LNK_MESSAGE:
-		return take_message(in, data + 1, size - 1);
+		return handle_message(in, data + 1, size - 1);
 	case LNK_HELLO:
-		return take_hello(in, data + 1, size - 1);
+		return handle_hello(in, data + 1, size - 1);
 	case LNK_PROOF:
-		return take_proof(in, data + 1, size - 1);
+		return handle_proof(in, data + 1, size - 1);
 	case LNK_PING:
-		return take_ping(in, size);
+		return handle_ping(in, size);
 	case LNK_BYE:
 		return in->state == LNK_UP ? "idle" : "protocol";
 	default:
@@ -191,7 +190,7 @@
 	}
 }
 
-static const char *take_frames(struct lnk_in *in)
+static const char *handle_frames(struct lnk_in *in)
 {
 	const char *reason = NULL;
 	const uint8_t *data;
@@ -199,33 +198,35 @@
 	int rc = 0;
 
 	while (!reason && (rc = frm_next(&in->reader, &data, &size)) > 0)
-		reason = take_frame(in, data, size);
+		reason = handle_frame(in, data, size);
 	return rc < 0 ? "protocol" : reason;
 }
 
 /* Reads until the socket is empty and delivers all frames in order. Tasks get
  * them on the next turn of the loop, so that after a pause of this process a
  * task has both a request and the cancel that followed it before it acts. */
-static const char *read_all(struct lnk_in *in)
+static const char *read_socket(struct lnk_in *in)
 {
 	g_autofree uint8_t *buffer = g_malloc(READ_SIZE);
 	const char *reason = NULL;
 	size_t total = 0;
 
-	while (!reason && total < LNK_READ_MAX) {
-		ssize_t got = recv(in->fd, buffer, READ_SIZE, MSG_DONTWAIT);
+	while (!reason && total < LNK_READ_TURN_MAX) {
+		ssize_t received =
+			recv(in->fd, buffer, READ_SIZE, MSG_DONTWAIT);
 
-		if (got < 0 && errno == EINTR)
+		if (received < 0 && errno == EINTR)
 			continue;
-		if (got < 0 && errno == EAGAIN)
+		if (received < 0 && errno == EAGAIN)
 			return NULL;
-		if (got <= 0)
-			return got ? "read_failed" : "closed_by_peer";
-		total += (size_t)got;
+		if (received <= 0)
+			return received ? "read_failed" : "closed_by_peer";
+		total += (size_t)received;
 		in->last_rx_us = fs_now_us();
-		ctr_add(in->lnk->node->ctr, in->lnk->bytes_in, (uint64_t)got);
-		frm_push(&in->reader, buffer, (size_t)got);
-		reason = take_frames(in);
+		ctr_add(in->lnk->node->ctr, in->lnk->bytes_in,
+			(uint64_t)received);
+		frm_push(&in->reader, buffer, (size_t)received);
+		reason = handle_frames(in);
 	}
 	return reason;
 }
@@ -233,7 +234,7 @@
 static void on_io(struct ev_loop *loop, ev_io *io, int events)
 {
 	struct lnk_in *in = io->data;
-	const char *reason = read_all(in);
+	const char *reason = read_socket(in);
 
 	(void)loop;
 	(void)events;
--- a/src/lnk_out.c
+++ b/src/lnk_out.c
@@ -20,7 +20,7 @@
  * handshake nor heartbeats may wait for a long queue. */
 static void queue(struct lnk_out *out, struct lnk_frame *frame)
 {
-	out->queued += frame->bytes->len;
+	out->queued_bytes += frame->bytes->len;
 	if (frame->control)
 		g_queue_push_nth(&out->frames, frame, out->written ? 1 : 0);
 	else
@@ -50,7 +50,7 @@
 	queue_control(out, payload);
 }
 
-static const struct sockaddr_in *own_address(const struct node *node)
+static const struct sockaddr_in *source_address(const struct node *node)
 {
 	if (node->set.peer_advertise.sin_addr.s_addr)
 		return &node->set.peer_advertise;
@@ -63,7 +63,7 @@
 {
 	struct sockaddr_in from = {
 		.sin_family = AF_INET,
-		.sin_addr = own_address(node)->sin_addr,
+		.sin_addr = source_address(node)->sin_addr,
 	};
 	int one = 1;
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -115,18 +115,18 @@
 	return n;
 }
 
-/* Drops the frames that the kernel has taken whole. */
-static void advance(struct lnk_out *out, size_t taken)
+/* Drops the frames that the kernel has sent whole. */
+static void advance(struct lnk_out *out, size_t sent)
 {
-	ctr_add(out->lnk->node->ctr, out->lnk->bytes_out, taken);
-	out->written += taken;
+	ctr_add(out->lnk->node->ctr, out->lnk->bytes_out, sent);
+	out->written += sent;
 	while (!g_queue_is_empty(&out->frames)) {
 		struct lnk_frame *frame = g_queue_peek_head(&out->frames);
 
 		if (out->written < frame->bytes->len)
 			return;
 		out->written -= frame->bytes->len;
-		out->queued -= frame->bytes->len;
+		out->queued_bytes -= frame->bytes->len;
 		g_queue_pop_head(&out->frames);
 		frame_free(frame);
 		ctr_add(out->lnk->node->ctr, out->lnk->frames_out, 1);
@@ -137,23 +137,23 @@
 {
 	struct iovec parts[WRITE_FRAMES];
 	struct msghdr header = {.msg_iov = parts};
-	ssize_t taken;
+	ssize_t sent;
 
 	if (out->state == LNK_CONNECTING)
 		return true;
 	while ((header.msg_iovlen = gather(out, parts))) {
-		taken = sendmsg(out->fd, &header, MSG_NOSIGNAL | MSG_DONTWAIT);
-		if (taken < 0 && errno == EINTR)
+		sent = sendmsg(out->fd, &header, MSG_NOSIGNAL | MSG_DONTWAIT);
+		if (sent < 0 && errno == EINTR)
 			continue;
-		if (taken < 0 && errno == EAGAIN) {
+		if (sent < 0 && errno == EAGAIN) {
 			watch(out, EV_READ | EV_WRITE);
 			return true;
 		}
-		if (taken < 0) {
+		if (sent < 0) {
 			lnk_out_break(out, "write_failed");
 			return false;
 		}
-		advance(out, (size_t)taken);
+		advance(out, (size_t)sent);
 	}
 	watch(out, EV_READ);
 	return true;
@@ -170,25 +170,25 @@
 }
 
 /* The peer proves itself first; then this node does, and messages follow. */
-static const char *take_challenge(struct lnk_out *out, const uint8_t *data,
-				  size_t size)
+static const char *handle_challenge(struct lnk_out *out, const uint8_t *data,
+				    size_t size)
 {
 	const char *key = out->lnk->node->set.fleet_key;
 	struct lnk_challenge challenge = {0};
 	GByteArray *payload;
-	uint8_t code[SIG_SIZE];
+	uint8_t mac[SIG_SIZE];
 
 	if (out->state != LNK_HANDSHAKE ||
 	    lnk_challenge_read(data, size, &challenge))
 		return "protocol";
 	if (fs_node_id(challenge.name) != out->peer ||
-	    !lnk_code_check(key, LNK_ACCEPTOR, &out->hello, &challenge,
-			    challenge.code))
+	    !lnk_mac_verify(key, LNK_ACCEPTOR, &out->hello, &challenge,
+			    challenge.mac))
 		return "peer_not_proven";
-	if (lnk_code(key, LNK_OPENER, &out->hello, &challenge, code))
+	if (lnk_mac(key, LNK_OPENER, &out->hello, &challenge, mac))
 		return "no_key";
 	payload = g_byte_array_new();
-	lnk_proof_write(code, payload);
+	lnk_proof_write(mac, payload);
 	queue_control(out, payload);
 	out->state = LNK_UP;
 	fs_log_eventf("lnk", G_LOG_LEVEL_INFO, "link_up",
@@ -198,12 +198,12 @@
 }
 
 /* Returns why the link must be broken, or NULL. */
-static const char *take_frame(struct lnk_out *out, const uint8_t *data,
-			      size_t size)
+static const char *handle_frame(struct lnk_out *out, const uint8_t *data,
+				size_t size)
 {
 	switch (data[0]) {
 	case LNK_CHALLENGE:
-		return take_challenge(out, data + 1, size - 1);
+		return handle_challenge(out, data + 1, size - 1);
 	case LNK_PONG:
 		return out->state == LNK_UP && size == 1 ? NULL : "protocol";
 	default:
@@ -211,7 +211,7 @@
 	}
 }
 
-static const char *take_frames(struct lnk_out *out)
+static const char *handle_frames(struct lnk_out *out)
 {
 	const char *reason = NULL;
 	const uint8_t *data;
@@ -219,28 +219,29 @@
 	int rc = 0;
 
 	while (!reason && (rc = frm_next(&out->reader, &data, &size)) > 0)
-		reason = take_frame(out, data, size);
+		reason = handle_frame(out, data, size);
 	return rc < 0 ? "protocol" : reason;
 }
 
-static const char *read_all(struct lnk_out *out)
+static const char *read_socket(struct lnk_out *out)
 {
 	uint8_t buffer[READ_SIZE];
 	const char *reason = NULL;
-	ssize_t got;
+	ssize_t received;
 
 	while (!reason) {
-		got = recv(out->fd, buffer, sizeof(buffer), MSG_DONTWAIT);
-		if (got < 0 && errno == EINTR)
+		received = recv(out->fd, buffer, sizeof(buffer), MSG_DONTWAIT);
+		if (received < 0 && errno == EINTR)
 			continue;
-		if (got < 0 && errno == EAGAIN)
+		if (received < 0 && errno == EAGAIN)
 			return NULL;
-		if (got <= 0)
-			return got ? "read_failed" : "closed_by_peer";
+		if (received <= 0)
+			return received ? "read_failed" : "closed_by_peer";
 		out->last_rx_us = fs_now_us();
-		ctr_add(out->lnk->node->ctr, out->lnk->bytes_in, (uint64_t)got);
-		frm_push(&out->reader, buffer, (size_t)got);
-		reason = take_frames(out);
+		ctr_add(out->lnk->node->ctr, out->lnk->bytes_in,
+			(uint64_t)received);
+		frm_push(&out->reader, buffer, (size_t)received);
+		reason = handle_frames(out);
 	}
 	return reason;
 }
@@ -262,7 +263,7 @@
 			begin_handshake(out);
 		return;
 	}
-	reason = read_all(out);
+	reason = read_socket(out);
 	if (reason)
 		lnk_out_break(out, reason);
 	else
@@ -285,10 +286,10 @@
 	out->hello.incarnation = lnk->node->incarnation;
 	out->hello.serial = ++lnk->serial;
 	out->hello.to = member->id;
-	lnk_nonce(out->hello.nonce);
+	lnk_nonce_fill(out->hello.nonce);
 	frm_reader_init(&out->reader);
 	g_queue_init(&out->frames);
-	out->opened_us = out->last_rx_us = out->used_us = now_us;
+	out->opened_us = out->last_rx_us = out->last_message_us = now_us;
 	ev_io_init(&out->io, on_io, fd, EV_WRITE);
 	out->io.data = out;
 	ev_io_start(lnk->node->loop, &out->io);
@@ -297,7 +298,7 @@
 }
 
 /* Encodes a message; NULL if it is too large for a frame. */
-static struct lnk_frame *frame_of(const struct msg *m)
+static struct lnk_frame *frame_new(const struct msg *m)
 {
 	struct lnk_frame *frame = g_new0(struct lnk_frame, 1);
 	uint8_t kind = LNK_MESSAGE;
@@ -319,7 +320,7 @@
 
 /* Takes a request out of the queue that the kernel has no byte of, so that
  * its cancel is confirmed here. Returns whether it was there. */
-static bool withdraw(struct lnk_out *out, const struct req_id *id)
+static bool cancel_unwritten(struct lnk_out *out, const struct req_id *id)
 {
 	GList *l = out->frames.head;
 	struct lnk_frame *frame;
@@ -333,10 +334,10 @@
 	}
 	if (!l)
 		return false;
-	out->queued -= frame->bytes->len;
+	out->queued_bytes -= frame->bytes->len;
 	g_queue_delete_link(&out->frames, l);
 	frame_free(frame);
-	lnk_tell_not_run(out->lnk, out->peer, id);
+	lnk_refuse_not_run(out->lnk, out->peer, id);
 	return true;
 }
 
@@ -344,25 +345,26 @@
 {
 	struct lnk *lnk = out->lnk;
 	struct lnk_frame *frame;
-	bool fits;
+	bool queueable;
 
-	if (m->type == MSG_CANCEL && withdraw(out, &m->cancel.id)) {
+	if (m->type == MSG_CANCEL && cancel_unwritten(out, &m->cancel.id)) {
 		msg_free(m);
 		return;
 	}
-	frame = frame_of(m);
-	fits = frame && out->queued + frame->bytes->len <= FS_LINK_QUEUE_MAX;
-	if (fits) {
+	frame = frame_new(m);
+	queueable = frame &&
+		    out->queued_bytes + frame->bytes->len <= FS_LINK_QUEUE_MAX;
+	if (queueable) {
 		queue(out, frame);
-		out->used_us = now_us;
+		out->last_message_us = now_us;
 	} else if (m->type == MSG_REQUEST) {
-		lnk_tell_not_run(lnk, out->peer, &m->request.id);
+		lnk_refuse_not_run(lnk, out->peer, &m->request.id);
 	} else if (frame) {
 		lnk_out_break(out, "queue_full");
 	} else {
 		ctr_count(lnk->node->ctr, "lnk_messages_not_encodable", 1);
 	}
-	if (frame && !fits)
+	if (frame && !queueable)
 		frame_free(frame);
 	msg_free(m);
 }
@@ -370,7 +372,7 @@
 void lnk_out_tick(struct lnk_out *out, int64_t now_us)
 {
 	if (out->state != LNK_UP) {
-		if (now_us - out->opened_us > LNK_HANDSHAKE_US)
+		if (now_us - out->opened_us > LNK_HANDSHAKE_TIMEOUT_US)
 			lnk_out_break(out, "handshake_timeout");
 		return;
 	}
@@ -378,7 +380,7 @@
 		lnk_out_break(out, "silent");
 		return;
 	}
-	if (now_us - out->used_us > LNK_IDLE_US &&
+	if (now_us - out->last_message_us > LNK_IDLE_TIMEOUT_US &&
 	    g_queue_is_empty(&out->frames)) {
 		queue_kind(out, LNK_BYE);
 		if (!lnk_out_flush(out))
@@ -392,13 +394,13 @@
 
 /* The last byte of each frame left was never handed to the kernel, so the
  * peer can not have decoded it: its request can not run. */
-static void give_back(struct lnk_out *out)
+static void refuse_unwritten(struct lnk_out *out)
 {
 	for (GList *l = out->frames.head; l; l = l->next) {
 		const struct lnk_frame *frame = l->data;
 
 		if (frame->request)
-			lnk_tell_not_run(out->lnk, out->peer, &frame->id);
+			lnk_refuse_not_run(out->lnk, out->peer, &frame->id);
 	}
 }
 
@@ -411,9 +413,9 @@
 	getpeername(out->fd, (struct sockaddr *)&address, &size);
 	/* A reset drops what the kernel has not sent yet. */
 	setsockopt(out->fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
-	lnk_tell_end(out->lnk, "out", out->peer, &address, reason);
-	give_back(out);
-	lnk_tell_down(out->lnk, out->peer);
+	lnk_log_end(out->lnk, "out", out->peer, &address, reason);
+	refuse_unwritten(out);
+	lnk_notify_down(out->lnk, out->peer);
 	g_hash_table_remove(out->lnk->out, &out->peer);
 	lnk_out_free(out);
 }
