--- a/src/lnk.c
+++ b/src/lnk.c
@@ -9,14 +9,14 @@
 
 static bool may_accept(const struct lnk *lnk)
 {
-	guint unproven = 0;
+	guint handshakes = 0;
 
 	for (guint i = 0; i < lnk->in->len; i++) {
 		const struct lnk_in *in = g_ptr_array_index(lnk->in, i);
 
-		unproven += in->state != LNK_UP;
+		handshakes += in->state != LNK_UP;
 	}
-	return lnk->in->len < LNK_IN_MAX && unproven < LNK_HANDSHAKES_MAX;
+	return lnk->in->len < LNK_IN_MAX && handshakes < LNK_HANDSHAKES_MAX;
 }
 
 static void on_accept(struct ev_loop *loop, ev_io *io, int events)
@@ -39,15 +39,15 @@
 	}
 }
 
-/* A pause of this process is not a silence of its peers: all clocks of the
- * links move on by the time that was missed. */
-static void skip_pause(struct lnk *lnk, int64_t now_us)
+/* A stall of this process must not expire the time-outs of its links:
+ * all link timestamps advance by the length of the stall. */
+static void compensate_stall(struct lnk *lnk, int64_t now_us)
 {
-	int64_t missed = now_us - lnk->ticked_us - FS_LINK_HEARTBEAT_US;
+	int64_t missed = now_us - lnk->last_tick_us - FS_LINK_HEARTBEAT_US;
 	GHashTableIter iter;
 	void *value;
 
-	lnk->ticked_us = now_us;
+	lnk->last_tick_us = now_us;
 	if (missed < FS_LINK_HEARTBEAT_US)
 		return;
 	g_hash_table_iter_init(&iter, lnk->out);
@@ -73,14 +73,14 @@
 
 	(void)loop;
 	(void)events;
-	skip_pause(lnk, now_us);
+	compensate_stall(lnk, now_us);
 	for (GList *l = all; l; l = l->next)
 		lnk_out_tick(l->data, now_us);
 	for (guint i = lnk->in->len; i-- > 0;)
 		lnk_in_tick(g_ptr_array_index(lnk->in, i), now_us);
 }
 
-/* Writes once per turn of the loop what all tasks have sent in it. */
+/* Batches writes: flushes all queued frames once per loop iteration. */
 static void on_prepare(struct ev_loop *loop, ev_prepare *prepare, int events)
 {
 	struct lnk *lnk = prepare->data;
@@ -96,7 +96,7 @@
 	}
 }
 
-/* Sends to a peer; opens its link if there is none. */
+/* Sends a message to a peer; opens a link if there is none. */
 static void send_remote(void *arg, struct msg *m, int64_t now_us)
 {
 	struct lnk *lnk = arg;
@@ -159,7 +159,7 @@
 	ev_prepare_init(&lnk->flush, on_prepare);
 	lnk->flush.data = lnk;
 	ev_prepare_start(loop, &lnk->flush);
-	lnk->ticked_us = fs_now_us();
+	lnk->last_tick_us = fs_now_us();
 }
 
 struct lnk *lnk_new(struct node *node)
--- a/tests/fleet_lnk.c
+++ b/tests/fleet_lnk.c
@@ -198,15 +198,15 @@
 void raw_prove(struct raw_peer *raw, struct ev_loop *loop, const char *key)
 {
 	GByteArray *payload = g_byte_array_new();
-	uint8_t code[SIG_SIZE];
+	uint8_t mac[SIG_SIZE];
 	uint8_t data[512];
 	size_t size = wait_frame(raw, loop, data, sizeof(data));
 
 	g_assert_cmpint(data[0], ==, LNK_CHALLENGE);
 	g_assert_cmpint(lnk_challenge_read(data + 1, size - 1, &raw->challenge),
 			==, 0);
-	lnk_mac(key, LNK_OPENER, &raw->hello, &raw->challenge, code);
-	lnk_proof_write(code, payload);
+	lnk_mac(key, LNK_OPENER, &raw->hello, &raw->challenge, mac);
+	lnk_proof_write(mac, payload);
 	send_payload(raw, payload);
 	pair_run(loop, 20000);
 }
@@ -241,7 +241,7 @@
 	g_strlcpy(raw->challenge.name, name, FS_NAME_MAX);
 	lnk_nonce_fill(raw->challenge.nonce);
 	lnk_mac(key, LNK_ACCEPTOR, &raw->hello, &raw->challenge,
-		raw->challenge.code);
+		raw->challenge.mac);
 	lnk_challenge_write(&raw->challenge, payload);
 	send_payload(raw, payload);
 }
