--- a/src/lnk_hello.c
+++ b/src/lnk_hello.c
@@ -186,5 +186,5 @@
 {
 	g_autoptr(GByteArray) bytes = mac_input(side, hello, challenge);
 
-	return sig_check(key, bytes->data, bytes->len, mac);
+	return sig_verify(key, bytes->data, bytes->len, mac);
 }
