--- a/src/lnk_hello.c
+++ b/src/lnk_hello.c
@@ -186,5 +186,5 @@
 {
 	g_autoptr(GByteArray) bytes = signed_bytes(side, hello, challenge);
 
-	return sig_check(key, bytes->data, bytes->len, code);
+	return sig_verify(key, bytes->data, bytes->len, code);
 }
