--- a/src/bus.c
+++ b/src/bus.c
@@ -1,7 +1,7 @@
 #include "bus.h"
 
-/** A message that waits for the next turn of the loop. */
-struct bus_slot {
+/** Receiver of the messages for one task. */
+struct bus_receiver {
 	const struct bus_task_ops *ops;
 	void *object;
 };
@@ -9,34 +9,35 @@
 struct bus {
 	struct ev_loop *loop;
 	node_id self;
-	struct bus_slot tasks[MSG_TASK_COUNT];
+	struct bus_receiver receivers[MSG_TASK_COUNT];
 	bus_remote_fn remote;
 	void *remote_arg;
-	GQueue waiting; /* struct msg */
+	GQueue queue; /* struct msg, delivered in the next iteration of the loop */
 	ev_async wake;
 	ev_check check;
 };
 
 static void deliver(struct bus *bus, struct msg *m)
 {
-	const struct bus_slot *slot = &bus->tasks[m->task];
+	const struct bus_receiver *receiver = &bus->receivers[m->task];
 
-	if (slot->ops)
-		slot->ops->receive(slot->object, m, fs_now_us());
+	if (receiver->ops)
+		receiver->ops->receive(receiver->object, m, fs_now_us());
 	msg_free(m);
 }
 
-/* Delivers what was queued before this turn; later messages wait a turn. */
-static void on_check(struct ev_loop *loop, ev_check *watcher, int events)
+/* Delivers the messages queued so far. Those sent by their receivers are
+ * delivered in the next iteration of the loop. */
+static void on_loop_check(struct ev_loop *loop, ev_check *watcher, int events)
 {
 	struct bus *bus = watcher->data;
-	guint n = g_queue_get_length(&bus->waiting);
+	guint n = g_queue_get_length(&bus->queue);
 
 	(void)loop;
 	(void)events;
 	while (n--)
-		deliver(bus, g_queue_pop_head(&bus->waiting));
-	if (!g_queue_is_empty(&bus->waiting))
+		deliver(bus, g_queue_pop_head(&bus->queue));
+	if (!g_queue_is_empty(&bus->queue))
 		ev_async_send(bus->loop, &bus->wake);
 }
 
@@ -53,10 +54,10 @@
 
 	bus->loop = loop;
 	bus->self = self;
-	g_queue_init(&bus->waiting);
+	g_queue_init(&bus->queue);
 	ev_async_init(&bus->wake, on_wake);
 	ev_async_start(loop, &bus->wake);
-	ev_check_init(&bus->check, on_check);
+	ev_check_init(&bus->check, on_loop_check);
 	bus->check.data = bus;
 	ev_check_start(loop, &bus->check);
 	return bus;
@@ -70,7 +71,7 @@
 		return;
 	ev_async_stop(bus->loop, &bus->wake);
 	ev_check_stop(bus->loop, &bus->check);
-	while ((m = g_queue_pop_head(&bus->waiting)))
+	while ((m = g_queue_pop_head(&bus->queue)))
 		msg_free(m);
 	g_free(bus);
 }
@@ -83,8 +84,8 @@
 void bus_attach(struct bus *bus, enum msg_task task,
 		const struct bus_task_ops *ops, void *object)
 {
-	bus->tasks[task].ops = ops;
-	bus->tasks[task].object = object;
+	bus->receivers[task].ops = ops;
+	bus->receivers[task].object = object;
 }
 
 void bus_attach_remote(struct bus *bus, bus_remote_fn send, void *arg)
@@ -111,7 +112,7 @@
 		msg_free(m);
 		return;
 	}
-	g_queue_push_tail(&bus->waiting, m);
+	g_queue_push_tail(&bus->queue, m);
 	ev_async_send(bus->loop, &bus->wake);
 }
 
@@ -120,7 +121,7 @@
 	for (int task = 1; task < MSG_TASK_COUNT; task++) {
 		struct msg *m;
 
-		if (!bus->tasks[task].ops)
+		if (!bus->receivers[task].ops)
 			continue;
 		m = msg_new(type, bus->self, (enum msg_task)task);
 		if (type == MSG_CONFIG)
--- a/src/frm.c
+++ b/src/frm.c
@@ -17,23 +17,24 @@
 
 void frm_push(struct frm_reader *reader, const void *data, size_t size)
 {
-	if (reader->at == reader->bytes->len)
+	if (reader->offset == reader->bytes->len)
 		g_byte_array_set_size(reader->bytes, 0);
-	else if (reader->at)
-		g_byte_array_remove_range(reader->bytes, 0, (guint)reader->at);
-	reader->at = 0;
+	else if (reader->offset)
+		g_byte_array_remove_range(reader->bytes, 0,
+					  (guint)reader->offset);
+	reader->offset = 0;
 	g_byte_array_append(reader->bytes, data, (guint)size);
 }
 
 int frm_next(struct frm_reader *reader, const uint8_t **data, size_t *size)
 {
-	const uint8_t *p = reader->bytes->data + reader->at;
-	size_t have = reader->bytes->len - reader->at;
+	const uint8_t *p = reader->bytes->data + reader->offset;
+	size_t available = reader->bytes->len - reader->offset;
 	uint32_t length;
 
 	if (reader->failed)
 		return FS_E_PROTOCOL;
-	if (have < FRM_HEADER_SIZE)
+	if (available < FRM_HEADER_SIZE)
 		return 0;
 	memcpy(&length, p, sizeof(length));
 	length = GUINT32_FROM_BE(length);
@@ -41,11 +42,11 @@
 		reader->failed = true;
 		return FS_E_PROTOCOL;
 	}
-	if (have < FRM_HEADER_SIZE + (size_t)length)
+	if (available < FRM_HEADER_SIZE + (size_t)length)
 		return 0;
 	*data = p + FRM_HEADER_SIZE;
 	*size = length;
-	reader->at += FRM_HEADER_SIZE + (size_t)length;
+	reader->offset += FRM_HEADER_SIZE + (size_t)length;
 	return 1;
 }
 
--- a/src/frm.h
+++ b/src/frm.h
@@ -1,9 +1,9 @@
 /**
  * @file frm.h
- * @brief Frames on a byte stream: a length of four bytes, then the payload.
+ * @brief Length-prefixed framing of a byte stream: four bytes, then the payload.
  *
- * The length is big-endian and counts the payload only. The reader takes bytes
- * in pieces of any size and gives whole payloads back in order.
+ * The length is big-endian and counts the payload only. The reader accepts
+ * chunks of any size and returns complete payloads in order.
  *
  * Limits: a payload has 1 to FS_FRAME_MAX bytes.
  */
@@ -12,36 +12,36 @@
 
 #include "fs_types.h"
 
-#define FRM_HEADER_SIZE 4 /* bytes before a payload */
+#define FRM_HEADER_SIZE 4 /* bytes of the length prefix */
 
-/** Bytes of a stream that are not given back yet. */
+/** Receive buffer of a stream. */
 struct frm_reader {
 	GByteArray *bytes;
-	size_t at;   /* start of the next frame in bytes */
-	bool failed; /* a length was out of bounds: no frames follow */
+	size_t offset; /* start of the next frame in bytes */
+	bool failed; /* an invalid length was read; frm_next() fails from then on */
 };
 
 void frm_reader_init(struct frm_reader *reader);
 void frm_reader_clear(struct frm_reader *reader);
 
-/** Adds bytes of the stream. */
+/** Appends received bytes; frees the space of frames that were returned. */
 void frm_push(struct frm_reader *reader, const void *data, size_t size);
 
 /**
- * Gives the next whole payload.
+ * Returns the next complete payload.
  * @param data  out: the payload, valid until the next frm_push()
- * @param size  out: its bytes
- * @return 1, 0 if more bytes are needed, or FS_E_PROTOCOL for a length out of
- *         bounds, from then on always
+ * @param size  out: size of the payload in bytes
+ * @return 1, 0 if more bytes are needed, or FS_E_PROTOCOL for an invalid
+ *         length, and on every later call
  */
 int frm_next(struct frm_reader *reader, const uint8_t **data, size_t *size);
 
-/** Appends an empty frame and returns where it starts. */
+/** Appends a placeholder header and returns its offset in @p out. */
 size_t frm_begin(GByteArray *out);
 
 /**
- * Sets the length of the frame begun at @p start to what was appended since.
- * @return 0, or FS_E_INVALID for a payload out of bounds
+ * Writes the length of the payload appended since frm_begin() returned @p start.
+ * @return 0, or FS_E_INVALID for an empty or too large payload
  */
 int frm_end(GByteArray *out, size_t start);
 
--- a/src/plt.c
+++ b/src/plt.c
@@ -4,10 +4,11 @@
 
 #include "plt_json.h"
 
-#define CALL_DEADLINE_US (2 * FS_US_PER_S)
-#define CONNECT_DEADLINE_MS 1000L
+#define CALL_TIMEOUT_US (2 * FS_US_PER_S)
+#define CONNECT_TIMEOUT_MS 1000L
 #define CONNECTIONS_MAX 8L
-#define RESPONSE_MAX (4 * 1024 * 1024) /* a value of 1 MB, escaped */
+/* Holds a value of 1 MB with JSON escapes. */
+#define RESPONSE_MAX_BYTES (4 * 1024 * 1024)
 
 enum call_kind {
 	CALL_GET,
@@ -16,25 +17,25 @@
 	CALL_VMS
 };
 
-/** One call in progress. */
+/** A call in progress. */
 struct plt_call {
 	struct plt *plt;
 	enum call_kind kind;
 	CURL *easy;
 	struct curl_slist *headers;
 	GString *response;
-	GBytes *request;
-	uint64_t after; /* of a watch */
-	plt_value_fn value_done;
-	plt_vms_fn vms_done;
+	GBytes *request_body;
+	uint64_t after; /* of a watch: the revision known to the caller */
+	plt_value_fn on_value;
+	plt_vms_fn on_vms;
 	void *arg;
 };
 
 struct plt {
 	struct crl *crl;
-	char *base;	   /* "http://ip:port" */
+	char *base_url;	   /* "http://ip:port" */
 	GHashTable *calls; /* struct plt_call */
-	uint64_t count;
+	uint64_t call_count;
 };
 
 struct plt *plt_new(struct ev_loop *loop, const char *address)
@@ -42,7 +43,7 @@
 	struct plt *plt = g_new0(struct plt, 1);
 
 	plt->crl = crl_new(loop, CONNECTIONS_MAX);
-	plt->base = g_strdup_printf("http://%s", address);
+	plt->base_url = g_strdup_printf("http://%s", address);
 	plt->calls = g_hash_table_new(NULL, NULL);
 	return plt;
 }
@@ -52,11 +53,11 @@
 	curl_easy_cleanup(call->easy);
 	curl_slist_free_all(call->headers);
 	g_string_free(call->response, TRUE);
-	g_clear_pointer(&call->request, g_bytes_unref);
+	g_clear_pointer(&call->request_body, g_bytes_unref);
 	g_free(call);
 }
 
-static void call_drop(struct plt_call *call)
+static void call_cancel(struct plt_call *call)
 {
 	crl_stop(call->plt->crl, call->easy);
 	g_hash_table_remove(call->plt->calls, call);
@@ -71,10 +72,10 @@
 		return;
 	calls = g_hash_table_get_keys(plt->calls);
 	for (GList *l = calls; l; l = l->next)
-		call_drop(l->data);
+		call_cancel(l->data);
 	crl_free(plt->crl);
 	g_hash_table_unref(plt->calls);
-	g_free(plt->base);
+	g_free(plt->base_url);
 	g_free(plt);
 }
 
@@ -86,26 +87,27 @@
 		struct plt_call *call = l->data;
 
 		if (call->arg == arg)
-			call_drop(call);
+			call_cancel(call);
 	}
 }
 
 uint64_t plt_call_count(const struct plt *plt)
 {
-	return plt->count;
+	return plt->call_count;
 }
 
 static size_t on_data(char *data, size_t size, size_t n, void *arg)
 {
 	struct plt_call *call = arg;
 
-	if (call->response->len + size * n > RESPONSE_MAX)
+	if (call->response->len + size * n > RESPONSE_MAX_BYTES)
 		return 0;
 	g_string_append_len(call->response, data, (gssize)(size * n));
 	return size * n;
 }
 
-/* Returns whether a call ended before any byte of it can have been sent. */
+/* Returns whether a call failed before a connection was established, so that no
+ * byte of the request can have been sent. */
 static bool never_sent(CURL *easy, CURLcode code)
 {
 	curl_off_t connected_us = 0;
@@ -116,7 +118,7 @@
 	return code == CURLE_OPERATION_TIMEDOUT && connected_us == 0;
 }
 
-static int err_of_status(const struct plt_call *call, long status)
+static int status_to_err(const struct plt_call *call, long status)
 {
 	if (status == 200 || (status == 304 && call->kind == CALL_WATCH))
 		return 0;
@@ -130,12 +132,13 @@
 	return FS_E_PROTOCOL;
 }
 
-static int err_of_call(const struct plt_call *call, CURLcode code, long *status)
+static int result_to_err(const struct plt_call *call, CURLcode code,
+			 long *status)
 {
 	*status = 0;
 	if (code == CURLE_OK) {
 		curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, status);
-		return err_of_status(call, *status);
+		return status_to_err(call, *status);
 	}
 	if (call->kind == CALL_PUT && !never_sent(call->easy, code))
 		return FS_E_AMBIGUOUS;
@@ -153,11 +156,11 @@
 		int parsed = plt_parse_value(call->response->str, &value, &data,
 					     call->kind != CALL_PUT);
 
-		/* A put whose answer is unreadable may have been done. */
+		/* A put with an unparsable reply may have been applied. */
 		if (parsed && !err)
 			err = call->kind == CALL_PUT ? FS_E_AMBIGUOUS : parsed;
 	}
-	call->value_done(call->arg, err, &value);
+	call->on_value(call->arg, err, &value);
 }
 
 static void finish_vms(struct plt_call *call, int err)
@@ -166,15 +169,15 @@
 
 	if (!err)
 		err = plt_parse_vms(call->response->str, vms);
-	call->vms_done(call->arg, err, (const struct plt_vm *)(void *)vms->data,
-		       err ? 0 : vms->len);
+	call->on_vms(call->arg, err, (const struct plt_vm *)(void *)vms->data,
+		     err ? 0 : vms->len);
 }
 
 static void on_done(void *arg, CURL *easy, CURLcode code)
 {
 	struct plt_call *call = arg;
 	long status;
-	int err = err_of_call(call, code, &status);
+	int err = result_to_err(call, code, &status);
 
 	(void)easy;
 	g_hash_table_remove(call->plt->calls, call);
@@ -186,7 +189,7 @@
 }
 
 static struct plt_call *call_new(struct plt *plt, enum call_kind kind,
-				 const char *url, int64_t deadline_us)
+				 const char *url, int64_t timeout_us)
 {
 	struct plt_call *call = g_new0(struct plt_call, 1);
 
@@ -199,9 +202,9 @@
 	curl_easy_setopt(call->easy, CURLOPT_NOPROXY, "*");
 	curl_easy_setopt(call->easy, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(call->easy, CURLOPT_CONNECTTIMEOUT_MS,
-			 CONNECT_DEADLINE_MS);
+			 CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(call->easy, CURLOPT_TIMEOUT_MS,
-			 (long)(deadline_us / FS_US_PER_MS));
+			 (long)(timeout_us / FS_US_PER_MS));
 	curl_easy_setopt(call->easy, CURLOPT_WRITEFUNCTION, on_data);
 	curl_easy_setopt(call->easy, CURLOPT_WRITEDATA, call);
 	return call;
@@ -211,7 +214,7 @@
 {
 	struct plt *plt = call->plt;
 
-	plt->count++;
+	plt->call_count++;
 	g_hash_table_add(plt->calls, call);
 	if (crl_start(plt->crl, call->easy, on_done, call))
 		on_done(call, call->easy, CURLE_COULDNT_CONNECT);
@@ -221,15 +224,15 @@
 {
 	g_autofree char *escaped = g_uri_escape_string(key, "/", FALSE);
 
-	return g_strdup_printf("%s/kv/%s", plt->base, escaped);
+	return g_strdup_printf("%s/kv/%s", plt->base_url, escaped);
 }
 
 void plt_get(struct plt *plt, const char *key, plt_value_fn done, void *arg)
 {
 	g_autofree char *url = key_url(plt, key);
-	struct plt_call *call = call_new(plt, CALL_GET, url, CALL_DEADLINE_US);
+	struct plt_call *call = call_new(plt, CALL_GET, url, CALL_TIMEOUT_US);
 
-	call->value_done = done;
+	call->on_value = done;
 	call->arg = arg;
 	call_start(call);
 }
@@ -242,34 +245,34 @@
 		"%s?after=%" G_GUINT64_FORMAT "&wait_ms=%" G_GINT64_FORMAT,
 		base, after, (int64_t)(wait_us / FS_US_PER_MS));
 	struct plt_call *call =
-		call_new(plt, CALL_WATCH, url, wait_us + CALL_DEADLINE_US);
+		call_new(plt, CALL_WATCH, url, wait_us + CALL_TIMEOUT_US);
 
 	call->after = after;
-	call->value_done = done;
+	call->on_value = done;
 	call->arg = arg;
 	call_start(call);
 }
 
-/* libcurl repeats a request by itself when a kept connection turns out to be
- * closed; a put must not be, so that it gets a connection of its own. */
+/* libcurl retries a request by itself when a reused connection turns out to be
+ * closed. A put must not be retried, so each put uses a new connection. */
 void plt_put(struct plt *plt, const char *key, uint64_t prev, const char *data,
 	     size_t size, plt_value_fn done, void *arg)
 {
 	g_autofree char *base = key_url(plt, key);
 	g_autofree char *url =
 		g_strdup_printf("%s?prev=%" G_GUINT64_FORMAT, base, prev);
-	struct plt_call *call = call_new(plt, CALL_PUT, url, CALL_DEADLINE_US);
+	struct plt_call *call = call_new(plt, CALL_PUT, url, CALL_TIMEOUT_US);
 
-	call->value_done = done;
+	call->on_value = done;
 	call->arg = arg;
-	call->request = g_bytes_new(data, size);
+	call->request_body = g_bytes_new(data, size);
 	call->headers = curl_slist_append(NULL, "Expect:");
 	curl_easy_setopt(call->easy, CURLOPT_CUSTOMREQUEST, "PUT");
 	curl_easy_setopt(call->easy, CURLOPT_HTTPHEADER, call->headers);
 	curl_easy_setopt(call->easy, CURLOPT_POSTFIELDSIZE_LARGE,
 			 (curl_off_t)size);
 	curl_easy_setopt(call->easy, CURLOPT_POSTFIELDS,
-			 g_bytes_get_data(call->request, NULL));
+			 g_bytes_get_data(call->request_body, NULL));
 	curl_easy_setopt(call->easy, CURLOPT_FRESH_CONNECT, 1L);
 	curl_easy_setopt(call->easy, CURLOPT_FORBID_REUSE, 1L);
 	call_start(call);
@@ -277,10 +280,10 @@
 
 void plt_vms(struct plt *plt, plt_vms_fn done, void *arg)
 {
-	g_autofree char *url = g_strdup_printf("%s/vms", plt->base);
-	struct plt_call *call = call_new(plt, CALL_VMS, url, CALL_DEADLINE_US);
+	g_autofree char *url = g_strdup_printf("%s/vms", plt->base_url);
+	struct plt_call *call = call_new(plt, CALL_VMS, url, CALL_TIMEOUT_US);
 
-	call->vms_done = done;
+	call->on_vms = done;
 	call->arg = arg;
 	call_start(call);
 }
--- a/src/plt_json.c
+++ b/src/plt_json.c
@@ -3,7 +3,7 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-/* Returns the object that a text consists of, or NULL. */
+/* Returns the top-level object of a JSON document, or NULL. */
 static JsonObject *parse_object(JsonParser *parser, const char *json)
 {
 	JsonNode *root;
@@ -16,8 +16,8 @@
 		       NULL;
 }
 
-/* Returns a member that is a scalar of the given type, or NULL. */
-static JsonNode *member(JsonObject *object, const char *name, GType type)
+/* Returns a member if it is a scalar of the given type, else NULL. */
+static JsonNode *scalar_member(JsonObject *object, const char *name, GType type)
 {
 	JsonNode *node = json_object_get_member(object, name);
 
@@ -27,9 +27,9 @@
 		       NULL;
 }
 
-static const char *text_member(JsonObject *object, const char *name)
+static const char *string_member(JsonObject *object, const char *name)
 {
-	JsonNode *node = member(object, name, G_TYPE_STRING);
+	JsonNode *node = scalar_member(object, name, G_TYPE_STRING);
 
 	return node ? json_node_get_string(node) : NULL;
 }
@@ -43,10 +43,10 @@
 	const char *text;
 
 	if (object)
-		revision = member(object, "revision", G_TYPE_INT64);
+		revision = scalar_member(object, "revision", G_TYPE_INT64);
 	if (!revision || json_node_get_int(revision) < 0)
 		return FS_E_PROTOCOL;
-	text = text_member(object, "value");
+	text = string_member(object, "value");
 	if (with_value && !text)
 		return FS_E_PROTOCOL;
 	value->revision = (uint64_t)json_node_get_int(revision);
@@ -66,10 +66,10 @@
 	if (!JSON_NODE_HOLDS_OBJECT(node))
 		return false;
 	object = json_node_get_object(node);
-	name = text_member(object, "name");
-	kind = text_member(object, "kind");
-	address = text_member(object, "address");
-	state = text_member(object, "state");
+	name = string_member(object, "name");
+	kind = string_member(object, "kind");
+	address = string_member(object, "address");
+	state = string_member(object, "state");
 	if (!name || !kind || !address || !state)
 		return false;
 	vm->entry = !strcmp(kind, "entry");
--- a/src/plt_json.h
+++ b/src/plt_json.h
@@ -1,6 +1,6 @@
 /**
  * @file plt_json.h
- * @brief Parses the platform's JSON bodies. All functions are pure.
+ * @brief Parsers for the JSON response bodies of the platform, free of I/O.
  */
 #ifndef PLT_JSON_H
 #define PLT_JSON_H
@@ -9,16 +9,18 @@
 
 /**
  * Parses {"revision":n,"value":"..."}.
- * @param with_value  the value must be there
- * @param data        out: what value->data points to, owned by the caller
+ * @param with_value  "value" is required; else only the revision is read
+ * @param data        out: memory behind value->data, to be freed by the caller; set
+ *                    with @p with_value only
  * @return 0 or FS_E_PROTOCOL
  */
 int plt_parse_value(const char *json, struct plt_value *value, char **data,
 		    bool with_value);
 
 /**
- * Parses {"vms":[...]} into an array of struct plt_vm. Entries of an unknown
- * kind or state are passed over, so that the platform may add some.
+ * Parses {"vms":[...]} into an array of struct plt_vm. Invalid entries and
+ * those of an unknown kind or state are skipped, so that the platform may
+ * introduce new ones.
  * @return 0 or FS_E_PROTOCOL
  */
 int plt_parse_vms(const char *json, GArray *vms);
--- a/src/sig.c
+++ b/src/sig.c
@@ -24,7 +24,7 @@
 }
 
 bool sig_verify(const char *key, const void *data, size_t size,
-		const uint8_t code[SIG_SIZE])
+		const uint8_t mac[SIG_SIZE])
 {
 	uint8_t expected[SIG_SIZE];
 	uint8_t difference = 0;
@@ -32,6 +32,6 @@
 	if (sig_sign(key, data, size, expected))
 		return false;
 	for (size_t i = 0; i < SIG_SIZE; i++)
-		difference |= expected[i] ^ code[i];
+		difference |= expected[i] ^ mac[i];
 	return difference == 0;
 }
