--- a/src/bus.h
+++ b/src/bus.h
@@ -4,9 +4,9 @@
  *
  * A task is an object with a table of functions. Messages to the node itself
  * are delivered in order in the next iteration of the event loop, never from
- * inside bus_send(). Messages to another node are passed to the link task, which
- * notifies the sending task with MSG_LINK_DOWN when that link breaks. Delivery is
- * at most once: a message may be lost with its link.
+ * inside bus_send(). Messages to another node are passed to the link task,
+ * which notifies the sending task with MSG_LINK_DOWN when that link breaks.
+ * Delivery is at most once: a message may be lost with its link.
  */
 #ifndef BUS_H
 #define BUS_H
@@ -33,12 +33,12 @@
 /** Returns the id of this node. */
 node_id bus_self(const struct bus *bus);
 
-/** Registers the receiver of messages for @p task; it replaces an earlier one. */
+/** Registers the receiver of messages for @p task; replaces an earlier one. */
 void bus_attach(struct bus *bus, enum msg_task task,
 		const struct bus_task_ops *ops, void *object);
 
-/** Sets the function that sends messages to other nodes, that of the link task; without one, such
- *  messages are discarded. */
+/** Sets the function of the link task that sends messages to other nodes;
+ *  without one, such messages are discarded. */
 void bus_attach_remote(struct bus *bus, bus_remote_fn send, void *arg);
 
 /** Sends @p m to task m->task of node m->to and takes ownership of it. */
--- a/src/frm.h
+++ b/src/frm.h
@@ -1,6 +1,6 @@
 /**
  * @file frm.h
- * @brief Length-prefixed framing of a byte stream: four bytes, then the payload.
+ * @brief Length-prefixed frames: a length of four bytes, then the payload.
  *
  * The length is big-endian and counts the payload only. The reader accepts
  * chunks of any size and returns complete payloads in order.
@@ -18,13 +18,13 @@
 struct frm_reader {
 	GByteArray *bytes;
 	size_t offset; /* start of the next frame in bytes */
-	bool failed; /* an invalid length was read; frm_next() fails from then on */
+	bool failed; /* an invalid length was read: frm_next() keeps failing */
 };
 
 void frm_reader_init(struct frm_reader *reader);
 void frm_reader_clear(struct frm_reader *reader);
 
-/** Appends received bytes; frees the space of frames that were returned. */
+/** Appends received bytes; discards the frames that frm_next() returned. */
 void frm_push(struct frm_reader *reader, const void *data, size_t size);
 
 /**
@@ -40,7 +40,8 @@
 size_t frm_begin(GByteArray *out);
 
 /**
- * Writes the length of the payload appended since frm_begin() returned @p start.
+ * Completes the frame begun at @p start: writes the length of the payload that
+ * was appended since frm_begin().
  * @return 0, or FS_E_INVALID for an empty or too large payload
  */
 int frm_end(GByteArray *out, size_t start);
--- a/src/plt.h
+++ b/src/plt.h
@@ -53,7 +53,7 @@
  */
 typedef void (*plt_value_fn)(void *arg, int err, const struct plt_value *value);
 
-/** Completion callback of plt_vms(); @p vms is valid during the callback only. */
+/** Completion callback of plt_vms(); @p vms is valid during the callback. */
 typedef void (*plt_vms_fn)(void *arg, int err, const struct plt_vm *vms,
 			   uint32_t count);
 
@@ -69,7 +69,7 @@
 void plt_watch(struct plt *plt, const char *key, uint64_t after,
 	       int64_t wait_us, plt_value_fn done, void *arg);
 
-/** Compare-and-swap: writes if the key is at revision @p prev; 0 for a new key. */
+/** Compare-and-swap: writes if the key is at revision @p prev; 0: a new key. */
 void plt_put(struct plt *plt, const char *key, uint64_t prev, const char *data,
 	     size_t size, plt_value_fn done, void *arg);
 
--- a/src/sig.h
+++ b/src/sig.h
@@ -2,8 +2,9 @@
  * @file sig.h
  * @brief Message authentication codes under the fleet key.
  *
- * HMAC-SHA256, truncated to SIG_SIZE bytes, proves that a datagram or a handshake
- * comes from a holder of the shared fleet key. It does not identify the holder.
+ * HMAC-SHA256, truncated to SIG_SIZE bytes, proves that a datagram or a
+ * handshake comes from a holder of the shared fleet key. It does not identify
+ * the holder.
  */
 #ifndef SIG_H
 #define SIG_H
@@ -23,7 +24,8 @@
 int sig_sign(const char *key, const void *data, size_t size,
 	     uint8_t out[SIG_SIZE]);
 
-/** Returns whether @p mac is the MAC of @p data; compares in constant time. */
+/** Returns whether @p mac is the MAC of @p data; compares in constant time. An
+ *  empty key verifies nothing. */
 bool sig_verify(const char *key, const void *data, size_t size,
 		const uint8_t mac[SIG_SIZE]);
 
