--- a/src/bus.c
+++ b/src/bus.c
@@ -12,7 +12,7 @@
 	struct bus_receiver receivers[MSG_TASK_COUNT];
 	bus_remote_fn remote;
 	void *remote_arg;
-	GQueue queue; /* struct msg, delivered in the next iteration of the loop */
+	GQueue queue; /* struct msg, until the next loop iteration */
 	ev_async wake;
 	ev_check check;
 };
--- a/src/plt_json.h
+++ b/src/plt_json.h
@@ -10,8 +10,8 @@
 /**
  * Parses {"revision":n,"value":"..."}.
  * @param with_value  "value" is required; else only the revision is read
- * @param data        out: memory behind value->data, set with @p with_value only;
- *                    the caller frees it with g_free()
+ * @param data        out: memory behind value->data, set with @p with_value
+ *                    only; the caller frees it with g_free()
  * @return 0 or FS_E_PROTOCOL
  */
 int plt_parse_value(const char *json, struct plt_value *value, char **data,
--- a/tests/unit_plt.c
+++ b/tests/unit_plt.c
@@ -19,7 +19,7 @@
 	struct plt *plt;
 	pid_t pid;
 	char address[FS_ADDRESS_MAX];
-	/* Number of completed calls and the result of the last one */
+	/* Completed gets, watches and puts; result of the last call */
 	int completed;
 	int err;
 	uint64_t revision;
@@ -254,9 +254,9 @@
 	fixture_free(fx);
 }
 
-/* Writes the version after the given one if the key is at revision prev. An ambiguous put is
- * resolved by reading the value back. Returns whether the edit is known to be
- * applied. */
+/* Writes the version after the given one if the key is at revision prev. An
+ * ambiguous put is resolved by reading the value back. Returns whether the edit
+ * is known to be applied. */
 static bool edit(struct fixture *fx, uint64_t prev, uint64_t version,
 		 const char *author)
 {
@@ -271,9 +271,9 @@
 	return err == 0;
 }
 
-/* Two operators edit from the same revision, and in every second round the first
- * reply is lost. In each round exactly one edit is applied, and only its author
- * sees a success. */
+/* Two operators edit from the same revision, and in every second round the
+ * first reply is lost. In each round exactly one edit is applied, and only its
+ * author gets a success. */
 static void test_concurrent_edits(void)
 {
 	struct fixture *fx = fixture_new();
