--- a/tests/unit_plt.c
+++ b/tests/unit_plt.c
@@ -167,8 +167,9 @@
 	fixture_free(fx);
 }
 
-/* The write was applied although its reply was lost. A retry would fail with a
- * conflict, or overwrite a later value. */
+/* The write was applied although its reply was lost. A retry at the same
+ * revision would end with a conflict; one at a newer revision could overwrite
+ * another edit. */
 static void test_lost_reply_is_ambiguous(void)
 {
 	struct fixture *fx = fixture_new();
