--- a/src/cnf.c
+++ b/src/cnf.c
@@ -74,8 +74,8 @@
 	if (cnf->node->ready || !cnf->store.cfg)
 		return;
 	newest = cnf_peers_newest(cnf, &id);
-	if (cnf_store_wants(&cnf->store, newest) &&
-	    now_us - cnf->started_us < CNF_READY_WAIT_US)
+	if (cnf_store_should_fetch(&cnf->store, newest) &&
+	    now_us - cnf->started_us < CNF_READY_TIMEOUT_US)
 		return;
 	cnf->node->ready = true;
 	fs_log_eventf("node", G_LOG_LEVEL_MESSAGE, "ready",
@@ -92,7 +92,7 @@
 	(void)events;
 	cnf_platform_tick(cnf, now_us);
 	cnf_peers_tick(cnf, now_us);
-	cnf_tell_tick(cnf, now_us);
+	cnf_broadcast_tick(cnf, now_us);
 	ready_tick(cnf, now_us);
 }
 
@@ -116,7 +116,7 @@
 			       now_us);
 		break;
 	case MSG_CONFIG_ASK:
-		cnf_peers_asked(cnf, m);
+		cnf_peers_answer_request(cnf, m);
 		break;
 	case MSG_CONFIG_TEXT:
 		cnf->asked = 0;
@@ -124,7 +124,7 @@
 			  now_us);
 		break;
 	case MSG_TARGETS_LEAVING:
-		cnf_tell_receive(cnf, m, now_us);
+		cnf_broadcast_receive(cnf, m, now_us);
 		break;
 	default:
 		break;
--- a/src/cnf_leaving.c
+++ b/src/cnf_leaving.c
@@ -55,8 +55,8 @@
 	return poller;
 }
 
-void cnf_leaving_told(struct cnf_leaving *leaving, node_id poller_id,
-		      const GPtrArray *servers, int64_t now_us)
+void cnf_leaving_update(struct cnf_leaving *leaving, node_id poller_id,
+			const GPtrArray *servers, int64_t now_us)
 {
 	struct poller *poller = find_poller(leaving, poller_id);
 
@@ -83,7 +83,7 @@
 		const struct poller *poller =
 			g_ptr_array_index(leaving->pollers, i - 1);
 
-		if (newest_us - poller->last_rx_us > CNF_LIST_LAPSE_US)
+		if (newest_us - poller->last_rx_us > CNF_LIST_EXPIRY_US)
 			g_ptr_array_remove_index(leaving->pollers, i - 1);
 	}
 }
--- a/src/cnf_leaving.h
+++ b/src/cnf_leaving.h
@@ -5,7 +5,7 @@
  * A poller tells each dispatcher the leaving servers of its shards. Pollers
  * may lag behind each other, so that a dispatcher's node keeps one list per
  * poller and goes by their union. The list of a poller that fell silent is
- * dropped only once another poller has been heard for CNF_LIST_LAPSE_US: with
+ * dropped only once another poller has been heard for CNF_LIST_EXPIRY_US: with
  * the platform away the last lists stand.
  */
 #ifndef CNF_LEAVING_H
@@ -14,7 +14,7 @@
 #include "plt.h"
 #include "shd.h"
 
-#define CNF_LIST_LAPSE_US (10 * FS_US_PER_S)
+#define CNF_LIST_EXPIRY_US (10 * FS_US_PER_S)
 
 struct cnf_leaving;
 
@@ -22,8 +22,8 @@
 void cnf_leaving_free(struct cnf_leaving *leaving);
 
 /** Takes the complete list of one poller; @p servers holds names. */
-void cnf_leaving_told(struct cnf_leaving *leaving, node_id poller,
-		      const GPtrArray *servers, int64_t now_us);
+void cnf_leaving_update(struct cnf_leaving *leaving, node_id poller,
+			const GPtrArray *servers, int64_t now_us);
 
 /** Returns the names of all servers told as leaving, sorted. */
 GPtrArray *cnf_leaving_union(struct cnf_leaving *leaving, int64_t now_us);
--- a/src/cnf_peers.c
+++ b/src/cnf_peers.c
@@ -32,9 +32,9 @@
 		    int64_t now_us)
 {
 	bool waiting = cnf->asked && cnf->asked_version >= version &&
-		       now_us - cnf->asked_us < CNF_ASK_US;
+		       now_us - cnf->asked_us < CNF_REQUEST_TIMEOUT_US;
 
-	if (cnf_store_wants(&cnf->store, version) && !waiting)
+	if (cnf_store_should_fetch(&cnf->store, version) && !waiting)
 		ask(cnf, id, version, now_us);
 }
 
@@ -43,7 +43,7 @@
 	node_id id;
 	uint64_t newest;
 
-	if (cnf->asked && now_us - cnf->asked_us < CNF_ASK_US)
+	if (cnf->asked && now_us - cnf->asked_us < CNF_REQUEST_TIMEOUT_US)
 		return;
 	newest = cnf_peers_newest(cnf, &id);
 	if (id && id != cnf->asked)
@@ -52,7 +52,7 @@
 		cnf->asked = 0;
 }
 
-void cnf_peers_asked(struct cnf *cnf, const struct msg *m)
+void cnf_peers_answer_request(struct cnf *cnf, const struct msg *m)
 {
 	const struct cfg *cfg = cnf->store.cfg;
 	struct msg *answer;
--- a/src/cnf_platform.c
+++ b/src/cnf_platform.c
@@ -58,7 +58,7 @@
 	log_outage(cnf, &cnf->vms, err);
 	cnf_call_end(cnf, &cnf->vms, !err, FS_VMS_POLL_US, fs_now_us());
 	if (!err)
-		cnf_tell_listed(cnf, vms, count);
+		cnf_broadcast_set_vms(cnf, vms, count);
 }
 
 /* Watchers wait for changes; any other node reads once at its start. */
--- a/src/cnf_priv.h
+++ b/src/cnf_priv.h
@@ -14,10 +14,11 @@
 #define CNF_WATCH_WAIT_US (2 * FS_US_PER_S) /* one long poll */
 #define CNF_RETRY_MIN_US 250000
 #define CNF_RETRY_MAX_US (2 * FS_US_PER_S)
-#define CNF_ASK_US FS_US_PER_S		    /* then another member is asked */
-#define CNF_READY_WAIT_US (5 * FS_US_PER_S) /* for the newest of the peers */
-#define CNF_REFRESH_US (3 * FS_US_PER_S)    /* leaving targets are told again */
-#define CNF_EMPTY_REPEATS 3 /* an empty list is told this often */
+#define CNF_REQUEST_TIMEOUT_US FS_US_PER_S /* then another member is asked */
+#define CNF_READY_TIMEOUT_US (5 * FS_US_PER_S) /* for the newest of the peers */
+#define CNF_LEAVING_REFRESH_US \
+	(3 * FS_US_PER_S)	 /* leaving targets are told again */
+#define CNF_EMPTY_LIST_REPEATS 3 /* an empty list is told this often */
 
 /** A kind of call to the platform that is repeated for as long as needed. */
 struct cnf_call {
@@ -71,13 +72,15 @@
 void cnf_peers_tick(struct cnf *cnf, int64_t now_us);
 void cnf_peers_hint(struct cnf *cnf, node_id id, uint64_t version,
 		    int64_t now_us);
-void cnf_peers_asked(struct cnf *cnf, const struct msg *m);
+void cnf_peers_answer_request(struct cnf *cnf, const struct msg *m);
 /** Returns the highest version that live members told of. */
 uint64_t cnf_peers_newest(const struct cnf *cnf, node_id *id);
 
 /* Leaving targets: cnf_tell.c */
-void cnf_tell_listed(struct cnf *cnf, const struct plt_vm *vms, uint32_t count);
-void cnf_tell_tick(struct cnf *cnf, int64_t now_us);
-void cnf_tell_receive(struct cnf *cnf, const struct msg *m, int64_t now_us);
+void cnf_broadcast_set_vms(struct cnf *cnf, const struct plt_vm *vms,
+			   uint32_t count);
+void cnf_broadcast_tick(struct cnf *cnf, int64_t now_us);
+void cnf_broadcast_receive(struct cnf *cnf, const struct msg *m,
+			   int64_t now_us);
 
 #endif
--- a/src/cnf_store.c
+++ b/src/cnf_store.c
@@ -13,7 +13,7 @@
 	return store->cfg ? store->cfg->version : 0;
 }
 
-bool cnf_store_wants(const struct cnf_store *store, uint64_t version)
+bool cnf_store_should_fetch(const struct cnf_store *store, uint64_t version)
 {
 	return version > cnf_store_version(store) && version != store->refused;
 }
--- a/src/cnf_store.h
+++ b/src/cnf_store.h
@@ -32,7 +32,7 @@
 uint64_t cnf_store_version(const struct cnf_store *store);
 
 /** Returns whether the text of @p version is worth asking for. */
-bool cnf_store_wants(const struct cnf_store *store, uint64_t version);
+bool cnf_store_should_fetch(const struct cnf_store *store, uint64_t version);
 
 /**
  * Decides on one version; the audit calls it again.
--- a/src/cnf_tell.c
+++ b/src/cnf_tell.c
@@ -44,7 +44,8 @@
 	return next == listed->len;
 }
 
-void cnf_tell_listed(struct cnf *cnf, const struct plt_vm *vms, uint32_t count)
+void cnf_broadcast_set_vms(struct cnf *cnf, const struct plt_vm *vms,
+			   uint32_t count)
 {
 	tell_contacts(cnf, vms, count);
 	if (!same_listed(cnf->listed, vms, count))
@@ -89,7 +90,7 @@
 	g_hash_table_iter_init(&iter, receivers);
 	while (g_hash_table_iter_next(&iter, &key, NULL))
 		g_hash_table_insert(cnf->told, g_memdup2(key, sizeof(node_id)),
-				    GUINT_TO_POINTER(CNF_EMPTY_REPEATS));
+				    GUINT_TO_POINTER(CNF_EMPTY_LIST_REPEATS));
 }
 
 static void tell_all(struct cnf *cnf)
@@ -111,24 +112,24 @@
 	note_told(cnf, receivers);
 }
 
-void cnf_tell_tick(struct cnf *cnf, int64_t now_us)
+void cnf_broadcast_tick(struct cnf *cnf, int64_t now_us)
 {
 	if (!cnf->watcher || !cnf->listed_known || !cnf->store.cfg)
 		return;
-	if (!cnf->tell_now && now_us - cnf->told_us < CNF_REFRESH_US)
+	if (!cnf->tell_now && now_us - cnf->told_us < CNF_LEAVING_REFRESH_US)
 		return;
 	cnf->tell_now = false;
 	cnf->told_us = now_us;
 	tell_all(cnf);
 }
 
-void cnf_tell_receive(struct cnf *cnf, const struct msg *m, int64_t now_us)
+void cnf_broadcast_receive(struct cnf *cnf, const struct msg *m, int64_t now_us)
 {
 	struct msg *all = msg_new(MSG_TARGETS_LEAVING, cnf->node->self,
 				  MSG_TASK_DISPATCH);
 
-	cnf_leaving_told(cnf->leaving, m->from, m->targets_leaving.servers,
-			 now_us);
+	cnf_leaving_update(cnf->leaving, m->from, m->targets_leaving.servers,
+			   now_us);
 	all->targets_leaving.servers = cnf_leaving_union(cnf->leaving, now_us);
 	bus_send(cnf->node->bus, all);
 }
--- a/src/ent.c
+++ b/src/ent.c
@@ -117,7 +117,7 @@
 		struct ent_request *req = l->data;
 
 		if (req->state == ENT_STREAMING)
-			ent_stream_cut(req, "stopped", now_us);
+			ent_stream_abort(req, "stopped", now_us);
 		else
 			ent_answer_refuse(req, FS_E_DISPATCHER_LOST, FS_UNKNOWN,
 					  0, now_us);
--- a/src/ent.h
+++ b/src/ent.h
@@ -24,14 +24,18 @@
 #include "rte.h"
 #include "rty.h"
 
-#define ENT_REQUESTS_MAX 4096		    /* requests in flight */
-#define ENT_BODY_BYTES_MAX (16 << 20)	    /* bytes of all request bodies */
-#define ENT_READ_US (20 * FS_US_PER_S)	    /* a request must arrive within */
-#define ENT_GRACE_US (250 * FS_US_PER_MS)   /* after the deadline */
-#define ENT_CONFIRM_US (150 * FS_US_PER_MS) /* for a cancel's confirmation */
-#define ENT_LOST_US FS_US_PER_S		    /* after a link broke */
-#define ENT_LEAVE_US (2 * FS_US_PER_S) /* for the news of leaving to spread */
-#define ENT_QUIET_US (200 * FS_US_PER_MS) /* nothing in flight before an end */
+#define ENT_REQUESTS_MAX 4096	      /* requests in flight */
+#define ENT_BODY_BYTES_MAX (16 << 20) /* bytes of all request bodies */
+#define ENT_READ_TIMEOUT_US \
+	(20 * FS_US_PER_S) /* a request must arrive within */
+#define ENT_DEADLINE_GRACE_US (250 * FS_US_PER_MS) /* after the deadline */
+#define ENT_CANCEL_TIMEOUT_US \
+	(150 * FS_US_PER_MS)		   /* for a cancel's confirmation */
+#define ENT_LINK_LOSS_GRACE_US FS_US_PER_S /* after a link broke */
+#define ENT_LEAVE_PROPAGATION_US \
+	(2 * FS_US_PER_S) /* for the news of leaving to spread */
+#define ENT_IDLE_BEFORE_STOP_US \
+	(200 * FS_US_PER_MS) /* nothing in flight before an end */
 
 enum ent_state {
 	ENT_READING,	/* from the caller */
@@ -128,12 +132,12 @@
 void ent_request_resume(struct ent_request *req);
 
 /** Starts the timer of a request, or again with another time. */
-void ent_request_timer(struct ent_request *req, int64_t after_us);
+void ent_request_start_timer(struct ent_request *req, int64_t after_us);
 
 /** Notes the end once, for the burn counts. @param cause  NULL: a whole
  *  answer of the target */
-void ent_request_note(struct ent_request *req, const char *cause,
-		      int64_t now_us);
+void ent_request_record_end(struct ent_request *req, const char *cause,
+			    int64_t now_us);
 
 /** The request leaves the table; later replies to it are dropped. */
 void ent_request_end(struct ent_request *req);
@@ -143,7 +147,7 @@
 extern const struct htd_ops ent_http_ops;
 
 /** Answers the fleet's own paths. Returns whether it was one. */
-bool ent_own_path(struct ent_request *req);
+bool ent_own_answer_path(struct ent_request *req);
 
 /* To dispatchers (ent_send.c). */
 
@@ -174,12 +178,12 @@
 		      bool last, int64_t now_us);
 
 /** Ends a stream so that the caller sees that it is not whole. */
-void ent_stream_cut(struct ent_request *req, const char *reason,
-		    int64_t now_us);
+void ent_stream_abort(struct ent_request *req, const char *reason,
+		      int64_t now_us);
 void ent_stream_clear(struct ent_stream *stream);
 
 /** The time of a request is over. */
-void ent_lost_time(struct ent_request *req, int64_t now_us);
+void ent_lost_timeout(struct ent_request *req, int64_t now_us);
 
 /** The link to a node is down. */
 void ent_lost_link(struct ent *ent, node_id node, int64_t now_us);
@@ -195,8 +199,9 @@
 		       int64_t now_us);
 
 /** Makes @p response the request's answer and owns it from then on. */
-void ent_answer_with(struct ent_request *req, struct MHD_Response *response,
-		     unsigned int status, enum fs_outcome outcome);
+void ent_answer_set_response(struct ent_request *req,
+			     struct MHD_Response *response, unsigned int status,
+			     enum fs_outcome outcome);
 
 /** Adds a target's header fields. Returns false if one is not valid. */
 bool ent_answer_headers(struct MHD_Response *response, const GArray *headers);
--- a/src/ent_answer.c
+++ b/src/ent_answer.c
@@ -16,8 +16,9 @@
 	return req->ambiguous && outcome == FS_NOT_RUN ? FS_UNKNOWN : outcome;
 }
 
-void ent_answer_with(struct ent_request *req, struct MHD_Response *response,
-		     unsigned int status, enum fs_outcome outcome)
+void ent_answer_set_response(struct ent_request *req,
+			     struct MHD_Response *response, unsigned int status,
+			     enum fs_outcome outcome)
 {
 	char text[64];
 
@@ -35,7 +36,7 @@
 
 bool ent_answer_headers(struct MHD_Response *response, const GArray *headers)
 {
-	g_autoptr(GArray) kept = ent_end_to_end(headers);
+	g_autoptr(GArray) kept = ent_check_copy_end_to_end(headers);
 	size_t bytes = 0;
 
 	for (guint i = 0; i < kept->len; i++) {
@@ -111,12 +112,12 @@
 	name = g_strdup_printf("ent_refusals{err=%s,outcome=%s}", row->name,
 			       fs_outcome_name(outcome));
 	ctr_count(req->ent->node->ctr, name, 1);
-	ent_request_note(req, row->name, now_us);
+	ent_request_record_end(req, row->name, now_us);
 	ent_request_end(req);
 	add(response, "Content-Type", "application/json");
 	add(response, "Fescuesaddle-Error", row->name);
 	add_retry_after(response, err, retry_after_us);
 	if (must_close(err))
 		add(response, "Connection", "close");
-	ent_answer_with(req, response, row->status, outcome);
+	ent_answer_set_response(req, response, row->status, outcome);
 }
--- a/src/ent_check.c
+++ b/src/ent_check.c
@@ -246,7 +246,7 @@
 	return false;
 }
 
-GArray *ent_end_to_end(const GArray *headers)
+GArray *ent_check_copy_end_to_end(const GArray *headers)
 {
 	GArray *out = msg_headers_new();
 
--- a/src/ent_check.h
+++ b/src/ent_check.h
@@ -41,6 +41,6 @@
  * Copies the fields that may be passed on: neither hop-by-hop ones, nor those
  * that Connection names, nor those that this fleet or HTTP framing sets.
  */
-GArray *ent_end_to_end(const GArray *headers);
+GArray *ent_check_copy_end_to_end(const GArray *headers);
 
 #endif
--- a/src/ent_http.c
+++ b/src/ent_http.c
@@ -65,7 +65,7 @@
 		refuse(req, err, 0, 0);
 		return;
 	}
-	if (ent_own_path(req))
+	if (ent_own_answer_path(req))
 		return;
 	if (!ent->cfg || !ent->view) {
 		refuse_not_ready(req);
@@ -87,7 +87,7 @@
 	struct ent *ent = req->ent;
 
 	req->body_bytes += size;
-	if (fs_now_us() - req->started_us > ENT_READ_US ||
+	if (fs_now_us() - req->started_us > ENT_READ_TIMEOUT_US ||
 	    req->body_bytes > req->body_max + (uint64_t)DISCARD_MAX) {
 		ctr_count(ent->node->ctr, "ent_bodies_dropped", 1);
 		return false;
--- a/src/ent_lost.c
+++ b/src/ent_lost.c
@@ -4,7 +4,7 @@
 {
 	ent_send_cancel(req);
 	req->state = ENT_CANCELLING;
-	ent_request_timer(req, ENT_CONFIRM_US);
+	ent_request_start_timer(req, ENT_CANCEL_TIMEOUT_US);
 }
 
 static void refuse_unknown(struct ent_request *req, int64_t now_us)
@@ -14,7 +14,7 @@
 	ent_answer_refuse(req, FS_E_DISPATCHER_LOST, FS_UNKNOWN, 0, now_us);
 }
 
-void ent_lost_time(struct ent_request *req, int64_t now_us)
+void ent_lost_timeout(struct ent_request *req, int64_t now_us)
 {
 	switch (req->state) {
 	case ENT_SENT:
@@ -25,7 +25,7 @@
 		break;
 	case ENT_STREAMING:
 		ent_send_cancel(req);
-		ent_stream_cut(req, "deadline", now_us);
+		ent_stream_abort(req, "deadline", now_us);
 		break;
 	default:
 		break;
@@ -81,13 +81,14 @@
  * therefore waits for a while before it is withdrawn. */
 static void lose_one(struct ent_request *req, int64_t now_us)
 {
-	int64_t left_us = req->deadline_us + ENT_GRACE_US - now_us;
+	int64_t left_us = req->deadline_us + ENT_DEADLINE_GRACE_US - now_us;
 
 	if (req->state == ENT_STREAMING) {
 		ent_send_cancel(req);
-		ent_stream_cut(req, "link_down", now_us);
+		ent_stream_abort(req, "link_down", now_us);
 	} else if (req->state == ENT_SENT && !may_retry(req, now_us)) {
-		ent_request_timer(req, MIN(left_us, ENT_LOST_US));
+		ent_request_start_timer(req,
+					MIN(left_us, ENT_LINK_LOSS_GRACE_US));
 	}
 }
 
@@ -125,7 +126,7 @@
 	ctr_count(req->ent->node->ctr, "ent_callers_gone", 1);
 	ent_send_cancel(req);
 	if (req->state == ENT_STREAMING)
-		ent_stream_cut(req, "caller_gone", now_us);
+		ent_stream_abort(req, "caller_gone", now_us);
 	else
 		ent_answer_refuse(req, FS_E_CALLER_GONE, FS_UNKNOWN, 0, now_us);
 }
--- a/src/ent_own.c
+++ b/src/ent_own.c
@@ -13,7 +13,7 @@
 
 	MHD_add_response_header(response, "Content-Type", "application/json");
 	ent_request_end(req);
-	ent_answer_with(req, response, status, FS_ANSWERED);
+	ent_answer_set_response(req, response, status, FS_ANSWERED);
 }
 
 static void answer_ready(struct ent_request *req)
@@ -72,7 +72,7 @@
 	ent_answer_refuse(req, err, FS_NOT_RUN, 0, now_us);
 }
 
-bool ent_own_path(struct ent_request *req)
+bool ent_own_answer_path(struct ent_request *req)
 {
 	if (!rte_path_match(OWN_PREFIX, req->path))
 		return false;
--- a/src/ent_pick.c
+++ b/src/ent_pick.c
@@ -3,11 +3,11 @@
 #include <string.h>
 #include <xxhash.h>
 
-int64_t ent_load_room(const struct ent_load *load, int64_t now_us)
+int64_t ent_load_capacity(const struct ent_load *load, int64_t now_us)
 {
 	int64_t room = -(int64_t)load->sent;
 
-	if (load->told_us && now_us - load->told_us < ENT_LOAD_FRESH_US)
+	if (load->told_us && now_us - load->told_us < ENT_LOAD_MAX_AGE_US)
 		room += (int64_t)load->told.free_slots - load->told.waiting;
 	return room;
 }
@@ -51,14 +51,14 @@
 static handle better(const struct ent_load *loads, handle a, handle b,
 		     int64_t now_us)
 {
-	return ent_load_room(&loads[b], now_us) >
-			       ent_load_room(&loads[a], now_us) ?
+	return ent_load_capacity(&loads[b], now_us) >
+			       ent_load_capacity(&loads[a], now_us) ?
 		       b :
 		       a;
 }
 
 handle ent_pick_shard(const struct shd_map *map, const struct ent_load *loads,
-		      const struct ent_wish *wish, int64_t now_us)
+		      const struct ent_query *wish, int64_t now_us)
 {
 	handle first = map->first[wish->service];
 	handle end = map->first[wish->service + 1];
@@ -84,7 +84,7 @@
 	return better(loads, a, b, now_us);
 }
 
-static bool was_used(const struct ent_wish *wish, node_id node)
+static bool was_used(const struct ent_query *wish, node_id node)
 {
 	for (uint32_t i = 0; i < wish->used_count; i++) {
 		if (wish->used[i] == node)
@@ -94,8 +94,8 @@
 }
 
 node_id ent_pick_node(const struct shd_shard *shard,
-		      const struct mem_view *view, const struct ent_wish *wish,
-		      ent_down_fn down, const void *arg, int64_t now_us,
+		      const struct mem_view *view, const struct ent_query *wish,
+		      ent_link_down_fn down, const void *arg, int64_t now_us,
 		      uint32_t *rank)
 {
 	uint32_t ranks = wish->key ? 1 : ENT_NODES_MAX;
@@ -110,7 +110,7 @@
 			continue;
 		if (node == view->self ||
 		    (member && member->direct &&
-		     (!down_us || now_us - down_us > ENT_DOWN_US))) {
+		     (!down_us || now_us - down_us > ENT_LINK_DOWN_AVOID_US))) {
 			*rank = r;
 			return node;
 		}
--- a/src/ent_pick.h
+++ b/src/ent_pick.h
@@ -13,8 +13,9 @@
 #include "shd.h"
 
 #define ENT_NODES_MAX 4 /* dispatchers a request is offered to at most */
-#define ENT_LOAD_FRESH_US (2 * FS_US_PER_S) /* a told load holds so long */
-#define ENT_DOWN_US (3 * FS_US_PER_S) /* a broken link is avoided so long */
+#define ENT_LOAD_MAX_AGE_US (2 * FS_US_PER_S) /* a told load holds so long */
+#define ENT_LINK_DOWN_AVOID_US \
+	(3 * FS_US_PER_S) /* a broken link is avoided so long */
 
 /** What is known of one shard's load. */
 struct ent_load {
@@ -24,10 +25,10 @@
 };
 
 /** Returns the room of a shard; an unknown or old load counts as none. */
-int64_t ent_load_room(const struct ent_load *load, int64_t now_us);
+int64_t ent_load_capacity(const struct ent_load *load, int64_t now_us);
 
 /** What one request is looking for. */
-struct ent_wish {
+struct ent_query {
 	handle service;
 	const char *region;
 	const char *key;     /* or NULL */
@@ -39,10 +40,10 @@
 
 /** Chooses a shard; FS_NONE if the service has none. */
 handle ent_pick_shard(const struct shd_map *map, const struct ent_load *loads,
-		      const struct ent_wish *wish, int64_t now_us);
+		      const struct ent_query *wish, int64_t now_us);
 
 /** Returns when the link to a node last broke, or 0. */
-typedef int64_t (*ent_down_fn)(const void *arg, node_id node);
+typedef int64_t (*ent_link_down_fn)(const void *arg, node_id node);
 
 /**
  * Chooses the dispatcher of a shard that has not had the request yet. A node
@@ -53,8 +54,8 @@
  * @return the node, or 0
  */
 node_id ent_pick_node(const struct shd_shard *shard,
-		      const struct mem_view *view, const struct ent_wish *wish,
-		      ent_down_fn down, const void *arg, int64_t now_us,
+		      const struct mem_view *view, const struct ent_query *wish,
+		      ent_link_down_fn down, const void *arg, int64_t now_us,
 		      uint32_t *rank);
 
 #endif
--- a/src/ent_reply.c
+++ b/src/ent_reply.c
@@ -90,10 +90,10 @@
 		fail(req, FS_E_ANSWER_INVALID, now_us);
 		return;
 	}
-	ent_request_note(req, NULL, now_us);
+	ent_request_record_end(req, NULL, now_us);
 	ent_request_end(req);
 	ctr_count(req->ent->node->ctr, "ent_answers", 1);
-	ent_answer_with(req, response, answer->status, answer->outcome);
+	ent_answer_set_response(req, response, answer->status, answer->outcome);
 }
 
 void ent_reply_answer(struct ent *ent, struct msg *m, int64_t now_us)
@@ -167,7 +167,7 @@
 	if (!req)
 		return;
 	if (req->state == ENT_STREAMING) {
-		ent_stream_cut(req, "refused", now_us);
+		ent_stream_abort(req, "refused", now_us);
 		return;
 	}
 	if (!ent_rules_same_shard(refusal->err))
--- a/src/ent_request.c
+++ b/src/ent_request.c
@@ -4,7 +4,7 @@
 {
 	(void)loop;
 	(void)events;
-	ent_lost_time(timer->data, fs_now_us());
+	ent_lost_timeout(timer->data, fs_now_us());
 }
 
 static void on_gone(void *arg)
@@ -73,7 +73,7 @@
 	htd_kick(req->ent->htd);
 }
 
-void ent_request_timer(struct ent_request *req, int64_t after_us)
+void ent_request_start_timer(struct ent_request *req, int64_t after_us)
 {
 	struct ev_loop *loop = req->ent->node->loop;
 
@@ -82,8 +82,8 @@
 	ev_timer_start(loop, &req->timer);
 }
 
-void ent_request_note(struct ent_request *req, const char *cause,
-		      int64_t now_us)
+void ent_request_record_end(struct ent_request *req, const char *cause,
+			    int64_t now_us)
 {
 	struct node *node = req->ent->node;
 	const struct cfg_service *service;
--- a/src/ent_rules.c
+++ b/src/ent_rules.c
@@ -7,7 +7,7 @@
 	       err == FS_E_HEADERS_TOO_LARGE || err == FS_E_ENTRY_FULL;
 }
 
-bool ent_rules_over(int64_t size, int64_t limit)
+bool ent_rules_exceeds_limit(int64_t size, int64_t limit)
 {
 	return size > limit;
 }
@@ -32,7 +32,7 @@
 	return remaining_us <= 0;
 }
 
-bool ent_rules_unknown(int64_t written, int64_t cancel_confirmed)
+bool ent_rules_outcome_unknown(int64_t written, int64_t cancel_confirmed)
 {
 	return written != 0 && cancel_confirmed == 0;
 }
--- a/src/ent_rules.h
+++ b/src/ent_rules.h
@@ -14,7 +14,7 @@
 bool ent_rules_request(int64_t err);
 
 /** AUD_R_REQUEST with a limit: the limit is passed. */
-bool ent_rules_over(int64_t size, int64_t limit);
+bool ent_rules_exceeds_limit(int64_t size, int64_t limit);
 
 /** AUD_R_NOT_READY */
 bool ent_rules_not_ready(int64_t ready);
@@ -30,7 +30,7 @@
 
 /** AUD_R_OUTCOME_UNKNOWN: the request was handed over and nothing since proves
  *  that it was not run. */
-bool ent_rules_unknown(int64_t written, int64_t cancel_confirmed);
+bool ent_rules_outcome_unknown(int64_t written, int64_t cancel_confirmed);
 
 /** AUD_R_CANCEL_CONFIRMED */
 bool ent_rules_cancel_confirmed(int64_t cancel_confirmed);
--- a/src/ent_send.c
+++ b/src/ent_send.c
@@ -9,11 +9,11 @@
 	return at ? *at : 0;
 }
 
-static struct ent_wish wish_of(const struct ent_request *req)
+static struct ent_query wish_of(const struct ent_request *req)
 {
 	GRand *random = req->ent->random;
 
-	return (struct ent_wish){
+	return (struct ent_query){
 		.service = req->service,
 		.region = req->ent->node->set.region,
 		.key = req->head.key,
@@ -44,7 +44,7 @@
 	request->method = g_strdup(req->method);
 	request->host = g_strdup(req->head.host);
 	request->target = g_strdup(req->target);
-	request->headers = ent_end_to_end(req->headers);
+	request->headers = ent_check_copy_end_to_end(req->headers);
 	request->body = g_bytes_new(req->body->data, req->body->len);
 	return m;
 }
@@ -53,7 +53,7 @@
 static bool send_to(struct ent_request *req, handle shard, int64_t now_us)
 {
 	struct ent *ent = req->ent;
-	struct ent_wish wish = wish_of(req);
+	struct ent_query wish = wish_of(req);
 	uint32_t rank = 0;
 	node_id node = ent_pick_node(&ent->map->shards[shard], ent->view, &wish,
 				     down_us, ent, now_us, &rank);
@@ -69,7 +69,8 @@
 	ctr_count(ent->node->ctr, "ent_sent", 1);
 	bus_send(ent->node->bus,
 		 message_of(req, &ent->map->shards[shard], rank, now_us));
-	ent_request_timer(req, req->deadline_us + ENT_GRACE_US - now_us);
+	ent_request_start_timer(req, req->deadline_us + ENT_DEADLINE_GRACE_US -
+					     now_us);
 	return true;
 }
 
@@ -98,7 +99,7 @@
 bool ent_send_next(struct ent_request *req, bool same_shard, int64_t now_us)
 {
 	struct ent *ent = req->ent;
-	struct ent_wish wish;
+	struct ent_query wish;
 	handle shard;
 
 	if (!adopt_config(req))
@@ -138,7 +139,7 @@
 void ent_send_first(struct ent_request *req, int64_t now_us)
 {
 	struct ent *ent = req->ent;
-	struct ent_wish wish;
+	struct ent_query wish;
 	handle shard;
 
 	if (!adopt_config(req) ||
--- a/src/ent_stop.c
+++ b/src/ent_stop.c
@@ -12,7 +12,7 @@
 		return false;
 	}
 	htd_quiesce(ent->htd);
-	return now_us - ent->quiet_us >= ENT_QUIET_US;
+	return now_us - ent->quiet_us >= ENT_IDLE_BEFORE_STOP_US;
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *timer, int events)
@@ -35,7 +35,8 @@
 {
 	if (ent->stop_us)
 		return;
-	ent->stop_us = now_us + ent->node->set.answer_ttl_us + ENT_LEAVE_US;
+	ent->stop_us = now_us + ent->node->set.answer_ttl_us +
+		       ENT_LEAVE_PROPAGATION_US;
 	ent->quiet_us = now_us;
 	ev_timer_init(&ent->stop_timer, on_timer, TICK_S, TICK_S);
 	ent->stop_timer.data = ent;
--- a/src/ent_stream.c
+++ b/src/ent_stream.c
@@ -93,7 +93,7 @@
 	req->state = ENT_STREAMING;
 	req->stream.length = answer->length;
 	push(&req->stream, answer->data);
-	ent_answer_with(req, response, answer->status, answer->outcome);
+	ent_answer_set_response(req, response, answer->status, answer->outcome);
 }
 
 /* Returns what is wrong with a piece, or NULL. */
@@ -122,26 +122,27 @@
 
 	if (wrong) {
 		ent_send_cancel(req);
-		ent_stream_cut(req, wrong, now_us);
+		ent_stream_abort(req, wrong, now_us);
 		return;
 	}
 	push(stream, data);
 	if (last) {
 		stream->last = true;
-		ent_request_note(req, NULL, now_us);
+		ent_request_record_end(req, NULL, now_us);
 		ent_request_end(req);
 		ctr_count(req->ent->node->ctr, "ent_answers", 1);
 	}
 	ent_request_resume(req);
 }
 
-void ent_stream_cut(struct ent_request *req, const char *reason, int64_t now_us)
+void ent_stream_abort(struct ent_request *req, const char *reason,
+		      int64_t now_us)
 {
 	g_autofree char *name = g_strdup_printf("ent_cuts{reason=%s}", reason);
 
 	ctr_count(req->ent->node->ctr, name, 1);
 	req->stream.cut = true;
-	ent_request_note(req, "truncated", now_us);
+	ent_request_record_end(req, "truncated", now_us);
 	ent_request_end(req);
 	ent_request_resume(req);
 }
--- a/src/fed.c
+++ b/src/fed.c
@@ -59,7 +59,7 @@
 	if (node->stopping || !fed->view ||
 	    now_us - fed->started_us < FED_SETTLE_US)
 		return false;
-	mem_view_first(fed->view, node->set.domain, first);
+	mem_view_hubs(fed->view, node->set.domain, first);
 	return first[0] == node->self;
 }
 
--- a/src/gwy_answer.c
+++ b/src/gwy_answer.c
@@ -35,7 +35,7 @@
 			      struct MHD_Response *response, struct tgt *tgt)
 {
 	g_autoptr(GArray) headers = tgt_steal_headers(tgt);
-	g_autoptr(GArray) kept = ent_end_to_end(headers);
+	g_autoptr(GArray) kept = ent_check_copy_end_to_end(headers);
 
 	if (tgt_status(tgt) < 300 &&
 	    !msg_headers_get(kept, req->gwy->fields.target.proof))
--- a/src/gwy_http.c
+++ b/src/gwy_http.c
@@ -27,7 +27,7 @@
 /* Drops hop-by-hop fields and fields that the fleet sets itself. */
 static GArray *forwarded_headers(const struct gwy *gwy, const GArray *headers)
 {
-	g_autoptr(GArray) kept = ent_end_to_end(headers);
+	g_autoptr(GArray) kept = ent_check_copy_end_to_end(headers);
 	GArray *out = msg_headers_new();
 
 	for (guint i = 0; i < kept->len; i++) {
--- a/src/lod_hub.c
+++ b/src/lod_hub.c
@@ -3,7 +3,7 @@
 void lod_hub_select(struct lod *lod)
 {
 	lod->domain_nodes =
-		mem_view_first(lod->view, lod->node->set.domain, lod->hubs);
+		mem_view_hubs(lod->view, lod->node->set.domain, lod->hubs);
 }
 
 static bool is_hub(const struct lod *lod)
@@ -240,7 +240,7 @@
 
 		if (!g_hash_table_add(seen, (void *)domain))
 			continue;
-		mem_view_first(lod->view, domain, hubs);
+		mem_view_hubs(lod->view, domain, hubs);
 		lod_send_to_node(lod, data, hubs[0]);
 		if (lod->digests_sent % LOD_STANDBY_DIGEST_RATIO == 0)
 			lod_send_to_node(lod, data, hubs[1]);
--- a/src/mem.c
+++ b/src/mem.c
@@ -48,7 +48,7 @@
 static void tell_hint(struct mem *mem)
 {
 	uint64_t version;
-	node_id id = mem_core_take_hint(mem->core, &version);
+	node_id id = mem_core_pop_hint(mem->core, &version);
 	struct msg *m;
 
 	if (!id)
@@ -154,7 +154,8 @@
 	} else if (m->type == MSG_CONTACTS) {
 		const GArray *at = m->contacts.addresses;
 
-		mem_core_set_listed(mem->core, (const void *)at->data, at->len);
+		mem_core_set_vm_contacts(mem->core, (const void *)at->data,
+					 at->len);
 	} else if (m->type == MSG_STOP) {
 		mem_core_leave(mem->core);
 		tell_view(mem);
--- a/src/mem.h
+++ b/src/mem.h
@@ -60,8 +60,8 @@
  * @param first  out: first and second choice, 0 if there is none
  * @return how many live members the domain has
  */
-uint32_t mem_view_first(const struct mem_view *view, const char *domain,
-			node_id first[2]);
+uint32_t mem_view_hubs(const struct mem_view *view, const char *domain,
+		       node_id first[2]);
 
 /** Returns the member @p id, or NULL. */
 const struct mem_member *mem_view_find(const struct mem_view *view, node_id id);
--- a/src/mem_check.c
+++ b/src/mem_check.c
@@ -6,7 +6,7 @@
 #define DIRECT_FAILURES 2  /* own pings in a row before the path is at fault */
 #define HELPERS_FAR 2	   /* of them in failure domains of neither end */
 
-int64_t mem_suspect_us(const struct mem_core *core)
+int64_t mem_suspicion_timeout_us(const struct mem_core *core)
 {
 	int log = 31 - __builtin_clz(core->table.present + 1);
 
@@ -51,7 +51,7 @@
 	}
 }
 
-void mem_check_enroll(struct mem_core *core, struct mem_node *node)
+void mem_check_add_to_ring(struct mem_core *core, struct mem_node *node)
 {
 	guint later = core->ring->len - MIN(core->ring_next, core->ring->len);
 	guint place = core->ring->len - mem_random_below(core, later + 1);
@@ -170,7 +170,7 @@
 	if (node->direct_failures >= DIRECT_FAILURES)
 		set_direct(core, node, false);
 	if (!check->relayed && node->m.state != MEM_SUSPECT)
-		mem_judge(core, node, MEM_SUSPECT, now_us);
+		mem_declare_state(core, node, MEM_SUSPECT, now_us);
 	check->target = 0;
 }
 
@@ -180,7 +180,7 @@
 		      const struct mem_check *check, int64_t now_us)
 {
 	return check->relayed || core->last_rx_us > check->sent_us ||
-	       now_us - check->sent_us > MEM_DEAF_US;
+	       now_us - check->sent_us > MEM_RX_TIMEOUT_US;
 }
 
 static void expire_check(struct mem_core *core, struct mem_check *check,
@@ -195,7 +195,7 @@
 	}
 	if (waited_us >= FS_GOSSIP_ACK_US && !check->indirect)
 		ask_helpers(core, check, node);
-	if (waited_us >= FS_GOSSIP_ACK_US + MEM_INDIRECT_US &&
+	if (waited_us >= FS_GOSSIP_ACK_US + MEM_INDIRECT_TIMEOUT_US &&
 	    may_judge(core, check, now_us))
 		end_check(core, check, node, now_us);
 }
@@ -209,7 +209,7 @@
 
 		if (node->m.state == MEM_SUSPECT &&
 		    now_us >= node->suspect_until_us)
-			mem_judge(core, node, MEM_DEAD, now_us);
+			mem_declare_state(core, node, MEM_DEAD, now_us);
 	}
 }
 
@@ -232,14 +232,15 @@
 		start_check(core, node, now_us);
 }
 
-void mem_check_restart(struct mem_core *core, int64_t now_us)
+void mem_check_reset(struct mem_core *core, int64_t now_us)
 {
 	memset(core->checks, 0, sizeof(core->checks));
 	for (guint i = 0; i < core->table.nodes->len; i++) {
 		struct mem_node *node = g_ptr_array_index(core->table.nodes, i);
 
 		if (node->m.state == MEM_SUSPECT)
-			node->suspect_until_us = now_us + mem_suspect_us(core);
+			node->suspect_until_us =
+				now_us + mem_suspicion_timeout_us(core);
 	}
 	core->last_rx_us = now_us;
 	core->next_ping_us = now_us + FS_GOSSIP_PERIOD_US;
@@ -267,8 +268,8 @@
 	}
 }
 
-void mem_check_acked(struct mem_core *core, const struct mem_packet *packet,
-		     int64_t now_us)
+void mem_check_receive_ack(struct mem_core *core,
+			   const struct mem_packet *packet, int64_t now_us)
 {
 	struct mem_check *check = find_check(core, packet->subject);
 	struct mem_node *node = mem_table_find(&core->table, packet->subject);
@@ -290,8 +291,8 @@
 	set_direct(core, node, true);
 }
 
-void mem_check_relay(struct mem_core *core, const struct mem_packet *packet,
-		     int64_t now_us)
+void mem_check_receive_ping_req(struct mem_core *core,
+				const struct mem_packet *packet, int64_t now_us)
 {
 	struct mem_node *node = mem_table_find(&core->table, packet->subject);
 	struct mem_relay *relay = NULL;
@@ -306,6 +307,6 @@
 	relay->sequence = ++core->sequence;
 	relay->requester = packet->peer;
 	relay->requester_sequence = packet->sequence;
-	relay->expires_us = now_us + MEM_RELAY_US;
+	relay->expires_us = now_us + MEM_RELAY_TIMEOUT_US;
 	mem_send_ping(core, node, relay->sequence);
 }
--- a/src/mem_core.c
+++ b/src/mem_core.c
@@ -93,8 +93,9 @@
 	core->contact_seeds = core->contacts->len;
 }
 
-void mem_core_set_listed(struct mem_core *core,
-			 const struct sockaddr_in *addresses, uint32_t count)
+void mem_core_set_vm_contacts(struct mem_core *core,
+			      const struct sockaddr_in *addresses,
+			      uint32_t count)
 {
 	g_array_set_size(core->contacts, core->contact_seeds);
 	for (uint32_t i = 0; i < count; i++)
@@ -108,8 +109,8 @@
 		core->push_refilled_us = now_us;
 		core->next_ping_us =
 			now_us + mem_random_below(core, FS_GOSSIP_PERIOD_US);
-	} else if (now_us - core->ticked_us > MEM_PAUSE_US) {
-		mem_check_restart(core, now_us);
+	} else if (now_us - core->ticked_us > MEM_PAUSE_MIN_US) {
+		mem_check_reset(core, now_us);
 	}
 	core->ticked_us = now_us;
 	mem_check_tick(core, now_us);
@@ -201,23 +202,23 @@
 		send_ack(core, packet);
 		break;
 	case MEM_ACK:
-		mem_check_acked(core, packet, now_us);
+		mem_check_receive_ack(core, packet, now_us);
 		break;
 	case MEM_PING_REQ:
-		mem_check_relay(core, packet, now_us);
+		mem_check_receive_ping_req(core, packet, now_us);
 		break;
 	case MEM_SYNC:
 		mem_sync_receive(core, packet);
 		break;
 	case MEM_PULL:
-		mem_sync_pulled(core, packet);
+		mem_sync_answer_pull(core, packet);
 		break;
 	default:
 		break;
 	}
 	if ((packet->type == MEM_PING || packet->type == MEM_ACK) &&
 	    packet->digest != mem_table_digest(&core->table))
-		mem_sync_differs(core, &packet->peer, now_us);
+		mem_sync_on_mismatch(core, &packet->peer, now_us);
 }
 
 int mem_core_receive(struct mem_core *core, const uint8_t *data, size_t size,
@@ -245,7 +246,7 @@
 	core->self->refutation++;
 	core->changed = true;
 	core->leave_repeats = MEM_LEAVE_REPEATS;
-	mem_send_later(core, core->self, false);
+	mem_send_enqueue(core, core->self, false);
 	mem_send_leaving(core);
 }
 
@@ -276,7 +277,7 @@
 	return mem_table_view(&core->table, core->self->m.id, 0);
 }
 
-node_id mem_core_take_hint(struct mem_core *core, uint64_t *version)
+node_id mem_core_pop_hint(struct mem_core *core, uint64_t *version)
 {
 	node_id hint = core->hint;
 
--- a/src/mem_core.h
+++ b/src/mem_core.h
@@ -41,8 +41,9 @@
 		       const struct sockaddr_in *address);
 
 /** Names the addresses of the VM list, in place of those named before. */
-void mem_core_set_listed(struct mem_core *core,
-			 const struct sockaddr_in *addresses, uint32_t count);
+void mem_core_set_vm_contacts(struct mem_core *core,
+			      const struct sockaddr_in *addresses,
+			      uint32_t count);
 
 /** Does what is due; to be called every MEM_TICK_US. */
 void mem_core_tick(struct mem_core *core, int64_t now_us);
@@ -71,7 +72,7 @@
  * Returns a member whose configuration version is higher than this node's,
  * heard of since the last call, or 0.
  */
-node_id mem_core_take_hint(struct mem_core *core, uint64_t *version);
+node_id mem_core_pop_hint(struct mem_core *core, uint64_t *version);
 
 /** Returns how many members are alive, this node included. */
 uint32_t mem_core_alive(const struct mem_core *core);
--- a/src/mem_core_priv.h
+++ b/src/mem_core_priv.h
@@ -8,17 +8,18 @@
 #include "mem_core.h"
 #include "mem_table.h"
 
-#define MEM_PAUSE_US (10 * MEM_TICK_US) /* a longer gap between two ticks */
-#define MEM_INDIRECT_US (2 * FS_GOSSIP_ACK_US) /* after the direct wait */
-#define MEM_DEAF_US (3 * FS_GOSSIP_PERIOD_US)
+#define MEM_PAUSE_MIN_US (10 * MEM_TICK_US) /* a longer gap between two ticks */
+#define MEM_INDIRECT_TIMEOUT_US \
+	(2 * FS_GOSSIP_ACK_US) /* after the direct wait */
+#define MEM_RX_TIMEOUT_US (3 * FS_GOSSIP_PERIOD_US)
 #define MEM_CHECKS_MAX 16
 #define MEM_RELAYS_MAX 64
-#define MEM_RELAY_US (2 * FS_GOSSIP_ACK_US)
-#define MEM_CONTACT_ALONE_US 500000
-#define MEM_CONTACT_US 5000000
-#define MEM_SYNC_US 5000000	  /* between two comparisons of tables */
-#define MEM_SYNC_QUIET_US 3000000 /* without changes before one */
-#define MEM_FORGET_US (7200 * FS_US_PER_S) /* dead members are kept */
+#define MEM_RELAY_TIMEOUT_US (2 * FS_GOSSIP_ACK_US)
+#define MEM_CONTACT_PERIOD_ALONE_US 500000
+#define MEM_CONTACT_PERIOD_US 5000000
+#define MEM_SYNC_INTERVAL_MIN_US 5000000 /* between two comparisons of tables */
+#define MEM_SYNC_SETTLE_US 3000000	 /* without changes before one */
+#define MEM_DEAD_RETENTION_US (7200 * FS_US_PER_S) /* dead members are kept */
 #define MEM_PUSH_FANOUT 3
 #define MEM_PUSH_BURST 10
 #define MEM_PUSH_REFILL_US 200000
@@ -99,7 +100,7 @@
 void mem_send_ping(struct mem_core *core, struct mem_node *node,
 		   uint32_t sequence);
 /** Marks a member's update as one to be sent to others. */
-void mem_send_later(struct mem_core *core, struct mem_node *node, bool full);
+void mem_send_enqueue(struct mem_core *core, struct mem_node *node, bool full);
 /** Tells many members at once that this node is leaving. */
 void mem_send_leaving(struct mem_core *core);
 /** Pushes new updates to a few members, within a bounded rate. */
@@ -107,17 +108,18 @@
 
 /* Checks: mem_check.c */
 void mem_check_tick(struct mem_core *core, int64_t now_us);
-void mem_check_acked(struct mem_core *core, const struct mem_packet *packet,
-		     int64_t now_us);
-void mem_check_relay(struct mem_core *core, const struct mem_packet *packet,
-		     int64_t now_us);
+void mem_check_receive_ack(struct mem_core *core,
+			   const struct mem_packet *packet, int64_t now_us);
+void mem_check_receive_ping_req(struct mem_core *core,
+				const struct mem_packet *packet,
+				int64_t now_us);
 /** Forgets all pings under way and grants suspects a fresh period. */
-void mem_check_restart(struct mem_core *core, int64_t now_us);
+void mem_check_reset(struct mem_core *core, int64_t now_us);
 /** Returns how long a suspect has to deny it. */
-int64_t mem_suspect_us(const struct mem_core *core);
+int64_t mem_suspicion_timeout_us(const struct mem_core *core);
 
 /** Gives a member its turn in the round of pings. */
-void mem_check_enroll(struct mem_core *core, struct mem_node *node);
+void mem_check_add_to_ring(struct mem_core *core, struct mem_node *node);
 
 /* Updates: mem_merge.c */
 
@@ -125,17 +127,18 @@
 bool mem_merge(struct mem_core *core, const struct mem_update *update,
 	       int64_t now_us);
 /** Changes the state of a member, by this node's own judgement. */
-void mem_judge(struct mem_core *core, struct mem_node *node,
-	       enum mem_state state, int64_t now_us);
+void mem_declare_state(struct mem_core *core, struct mem_node *node,
+		       enum mem_state state, int64_t now_us);
 
 /** Drops a member with all that refers to it. */
 void mem_drop(struct mem_core *core, struct mem_node *node);
 
 /* Comparing tables: mem_sync.c */
 void mem_sync_tick(struct mem_core *core, int64_t now_us);
-void mem_sync_differs(struct mem_core *core, const struct sockaddr_in *to,
-		      int64_t now_us);
+void mem_sync_on_mismatch(struct mem_core *core, const struct sockaddr_in *to,
+			  int64_t now_us);
 void mem_sync_receive(struct mem_core *core, const struct mem_packet *packet);
-void mem_sync_pulled(struct mem_core *core, const struct mem_packet *packet);
+void mem_sync_answer_pull(struct mem_core *core,
+			  const struct mem_packet *packet);
 
 #endif
--- a/src/mem_merge.c
+++ b/src/mem_merge.c
@@ -8,14 +8,15 @@
 	node->m.state = state;
 	node->recontact = false;
 	if (state == MEM_SUSPECT)
-		node->suspect_until_us = now_us + mem_suspect_us(core);
+		node->suspect_until_us =
+			now_us + mem_suspicion_timeout_us(core);
 	if (state == MEM_DEAD)
 		node->died_us = now_us;
 	mem_table_recount(&core->table);
 	core->changed = true;
 	core->changed_us = now_us;
 	if (state != MEM_DEAD)
-		mem_check_enroll(core, node);
+		mem_check_add_to_ring(core, node);
 }
 
 void mem_drop(struct mem_core *core, struct mem_node *node)
@@ -25,12 +26,12 @@
 	core->changed = true;
 }
 
-void mem_judge(struct mem_core *core, struct mem_node *node,
-	       enum mem_state state, int64_t now_us)
+void mem_declare_state(struct mem_core *core, struct mem_node *node,
+		       enum mem_state state, int64_t now_us)
 {
 	set_state(core, node, state, now_us);
-	if (now_us - core->last_rx_us <= MEM_DEAF_US)
-		mem_send_later(core, node, false);
+	if (now_us - core->last_rx_us <= MEM_RX_TIMEOUT_US)
+		mem_send_enqueue(core, node, false);
 }
 
 /* Denies that this node is suspect or dead. A process that replaced one with
@@ -51,7 +52,7 @@
 		core->changed = true;
 	}
 	self->refutation = update->refutation + 1;
-	mem_send_later(core, self, true);
+	mem_send_enqueue(core, self, true);
 }
 
 static bool merge_unknown(struct mem_core *core,
@@ -73,7 +74,7 @@
 	node->refutation = update->refutation;
 	node->m.direct = true;
 	set_state(core, node, update->state, now_us);
-	mem_send_later(core, node, true);
+	mem_send_enqueue(core, node, true);
 	return false;
 }
 
@@ -130,7 +131,7 @@
 		take_full(core, node, update);
 	node->refutation = update->refutation;
 	set_state(core, node, update->state, now_us);
-	mem_send_later(core, node, update->full);
+	mem_send_enqueue(core, node, update->full);
 	if (update->state == MEM_SUSPECT)
 		ask_suspect(core, node);
 	return false;
--- a/src/mem_send.c
+++ b/src/mem_send.c
@@ -93,7 +93,7 @@
 	return 3 * (32 - (uint32_t)__builtin_clz(members + 1));
 }
 
-void mem_send_later(struct mem_core *core, struct mem_node *node, bool full)
+void mem_send_enqueue(struct mem_core *core, struct mem_node *node, bool full)
 {
 	if (!node->sends_left) {
 		g_ptr_array_add(core->hot, node);
--- a/src/mem_sync.c
+++ b/src/mem_sync.c
@@ -127,7 +127,8 @@
 	bundle_flush(core, &bundle, &packet->peer);
 }
 
-void mem_sync_pulled(struct mem_core *core, const struct mem_packet *packet)
+void mem_sync_answer_pull(struct mem_core *core,
+			  const struct mem_packet *packet)
 {
 	struct bundle bundle = {0};
 
@@ -143,13 +144,13 @@
 	bundle_flush(core, &bundle, &packet->peer);
 }
 
-void mem_sync_differs(struct mem_core *core, const struct sockaddr_in *to,
-		      int64_t now_us)
+void mem_sync_on_mismatch(struct mem_core *core, const struct sockaddr_in *to,
+			  int64_t now_us)
 {
 	if (now_us < core->next_sync_us ||
-	    now_us - core->changed_us < MEM_SYNC_QUIET_US)
+	    now_us - core->changed_us < MEM_SYNC_SETTLE_US)
 		return;
-	core->next_sync_us = now_us + MEM_SYNC_US;
+	core->next_sync_us = now_us + MEM_SYNC_INTERVAL_MIN_US;
 	send_table(core, to);
 }
 
@@ -214,7 +215,7 @@
 			g_ptr_array_index(core->table.nodes, i - 1);
 
 		if (mem_node_present(node) ||
-		    now_us - node->died_us < MEM_FORGET_US)
+		    now_us - node->died_us < MEM_DEAD_RETENTION_US)
 			continue;
 		mem_drop(core, node);
 	}
@@ -229,9 +230,11 @@
 	if (now_us < core->next_contact_us)
 		return;
 	core->next_contact_us =
-		now_us + (alone ? MEM_CONTACT_ALONE_US : MEM_CONTACT_US) / 2 +
-		mem_random_below(core,
-				 alone ? MEM_CONTACT_ALONE_US : MEM_CONTACT_US);
+		now_us +
+		(alone ? MEM_CONTACT_PERIOD_ALONE_US : MEM_CONTACT_PERIOD_US) /
+			2 +
+		mem_random_below(core, alone ? MEM_CONTACT_PERIOD_ALONE_US :
+					       MEM_CONTACT_PERIOD_US);
 	contact_some(core, alone ? CONTACTS_AT_ONCE : 1);
 	contact_dead(core, 1, false);
 	forget_dead(core, now_us);
--- a/src/mem_view.c
+++ b/src/mem_view.c
@@ -18,8 +18,8 @@
 		g_free(view);
 }
 
-uint32_t mem_view_first(const struct mem_view *view, const char *domain,
-			node_id first[2])
+uint32_t mem_view_hubs(const struct mem_view *view, const char *domain,
+		       node_id first[2])
 {
 	uint64_t key = fs_node_id(domain);
 	uint64_t best[2] = {0, 0};
--- a/tests/mem_sim.h
+++ b/tests/mem_sim.h
@@ -165,11 +165,11 @@
 }
 
 /* A node that hears of a newer version has its text 20 ms later. */
-static inline void sim_hint(struct sim *sim, struct sim_node *node)
+static inline void sim_fetch_config(struct sim *sim, struct sim_node *node)
 {
 	uint64_t version;
 
-	if (!mem_core_take_hint(node->core, &version) ||
+	if (!mem_core_pop_hint(node->core, &version) ||
 	    node->config_due >= version)
 		return;
 	node->config_due = version;
@@ -182,10 +182,10 @@
 	g_assert_cmpint(mem_core_receive(node->core, data->data, data->len,
 					 sim_us(sim)),
 			==, 0);
-	sim_hint(sim, node);
+	sim_fetch_config(sim, node);
 }
 
-static inline void sim_take(struct sim *sim, struct sim_datagram *d)
+static inline void sim_arrive(struct sim *sim, struct sim_datagram *d)
 {
 	struct sim_node *node = &sim->nodes[d->to];
 
@@ -199,7 +199,7 @@
 	g_byte_array_unref(d->data);
 }
 
-static inline void sim_wake(struct sim *sim, uint32_t i)
+static inline void sim_resume(struct sim *sim, uint32_t i)
 {
 	struct sim_node *node = &sim->nodes[i];
 
@@ -215,7 +215,7 @@
 	const int64_t tick_ms = MEM_TICK_US / 1000;
 
 	for (guint k = 0; k < slot->len; k++)
-		sim_take(sim, &g_array_index(slot, struct sim_datagram, k));
+		sim_arrive(sim, &g_array_index(slot, struct sim_datagram, k));
 	g_array_set_size(slot, 0);
 	for (uint32_t i = (uint32_t)(sim->now_ms % tick_ms); i < sim->count;
 	     i += (uint32_t)tick_ms) {
@@ -255,8 +255,8 @@
 }
 
 /* Returns how many running nodes hold @p k in the given state. */
-static inline uint32_t sim_holding(struct sim *sim, uint32_t k,
-				   enum mem_state state)
+static inline uint32_t sim_count_state(struct sim *sim, uint32_t k,
+				       enum mem_state state)
 {
 	uint32_t n = 0;
 
@@ -267,7 +267,7 @@
 }
 
 /* Returns how many running nodes hold every running node as alive. */
-static inline uint32_t sim_complete(struct sim *sim)
+static inline uint32_t sim_count_converged(struct sim *sim)
 {
 	uint32_t up = 0;
 	uint32_t n = 0;
@@ -281,7 +281,7 @@
 }
 
 /* Runs until all running nodes hold each other as alive; returns ms. */
-static inline int64_t sim_settle(struct sim *sim, int64_t limit_ms)
+static inline int64_t sim_converge(struct sim *sim, int64_t limit_ms)
 {
 	int64_t start = sim->now_ms;
 	uint32_t up = 0;
@@ -290,20 +290,21 @@
 		up += !sim->nodes[i].down;
 	while (sim->now_ms - start < limit_ms) {
 		sim_run(sim, 100);
-		if (sim_complete(sim) == up)
+		if (sim_count_converged(sim) == up)
 			break;
 	}
 	return sim->now_ms - start;
 }
 
 /* Runs until @p n nodes hold @p k in a state; returns ms. */
-static inline int64_t sim_until(struct sim *sim, uint32_t k,
-				enum mem_state state, uint32_t n,
-				int64_t limit_ms)
+static inline int64_t sim_run_until(struct sim *sim, uint32_t k,
+				    enum mem_state state, uint32_t n,
+				    int64_t limit_ms)
 {
 	int64_t start = sim->now_ms;
 
-	while (sim->now_ms - start < limit_ms && sim_holding(sim, k, state) < n)
+	while (sim->now_ms - start < limit_ms &&
+	       sim_count_state(sim, k, state) < n)
 		sim_run(sim, 100);
 	return sim->now_ms - start;
 }
--- a/tests/prop_cnf.cpp
+++ b/tests/prop_cnf.cpp
@@ -37,7 +37,8 @@
 
 		for (const auto &offer : offers) {
 			uint64_t problems = 0;
-			bool wanted = cnf_store_wants(&store, offer.first);
+			bool wanted =
+				cnf_store_should_fetch(&store, offer.first);
 			aud_rule rule = cnf_store_offer(
 				&store, offer.first,
 				offer.second ? GOOD : "deployment: 1\n",
@@ -54,8 +55,8 @@
 			if (offer.first > in_force && !offer.second) {
 				RC_ASSERT(rule == AUD_R_CONFIG_BAD);
 				RC_ASSERT(store.problem != nullptr);
-				RC_ASSERT(
-					!cnf_store_wants(&store, offer.first));
+				RC_ASSERT(!cnf_store_should_fetch(&store,
+								  offer.first));
 			}
 			if (offer.first <= in_force)
 				RC_ASSERT(!wanted);
--- a/tests/tool_members.c
+++ b/tests/tool_members.c
@@ -66,12 +66,12 @@
 		int64_t start = sim->now_ms;
 
 		sim->nodes[victim].down = true;
-		while (sim_holding(sim, victim, MEM_ALIVE))
+		while (sim_count_state(sim, victim, MEM_ALIVE))
 			sim_run(sim, 100);
 		longest_ms = MAX(longest_ms, sim->now_ms - start);
 		sim_run(sim, 20000);
 		sim_start(sim, victim, 9000000 + run);
-		sim_settle(sim, 60000);
+		sim_converge(sim, 60000);
 		sim_run(sim, 10000);
 	}
 	sum(sim, &bytes_after, &datagrams);
@@ -141,7 +141,7 @@
 	for (guint i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		struct sim *sim = sim_new(sizes[i], 2, 3, 7);
 
-		sim_settle(sim, 120000);
+		sim_converge(sim, 120000);
 		measure_idle(sim);
 		measure_cpu(sim);
 		measure_kills(sim);
--- a/tests/unit_cnf.c
+++ b/tests/unit_cnf.c
@@ -19,7 +19,7 @@
 {
 	g_autoptr(GPtrArray) list = names(text);
 
-	cnf_leaving_told(leaving, poller, list, now_us);
+	cnf_leaving_update(leaving, poller, list, now_us);
 }
 
 static void assert_union(struct cnf_leaving *leaving, int64_t now_us,
--- a/tests/unit_ent.c
+++ b/tests/unit_ent.c
@@ -308,7 +308,8 @@
 	struct gate_caller ask;
 
 	begin();
-	g.node.set.answer_ttl_us = -ENT_LEAVE_US; /* no time to wait out */
+	g.node.set.answer_ttl_us =
+		-ENT_LEAVE_PROPAGATION_US; /* no time to wait out */
 	m = call(PAY);
 	stop = msg_new(MSG_STOP, g.node.self, MSG_TASK_ENTRY);
 	bus_send(g.node.bus, stop);
--- a/tests/unit_mem.c
+++ b/tests/unit_mem.c
@@ -11,8 +11,8 @@
 {
 	struct sim *sim = sim_new(count, regions, domains, count);
 
-	sim_settle(sim, 60000);
-	g_assert_cmpuint(sim_complete(sim), ==, count);
+	sim_converge(sim, 60000);
+	g_assert_cmpuint(sim_count_converged(sim), ==, count);
 	return sim;
 }
 
@@ -43,13 +43,13 @@
 
 	sim->nodes[7].down = true;
 	suspected_ms = sim->now_ms;
-	while (sim_holding(sim, 7, MEM_ALIVE) &&
+	while (sim_count_state(sim, 7, MEM_ALIVE) &&
 	       sim->now_ms - suspected_ms < DETECT_MS)
 		sim_run(sim, 100);
-	g_assert_cmpuint(sim_holding(sim, 7, MEM_ALIVE), ==, 0);
-	sim_until(sim, 7, MEM_DEAD, 47, DEAD_MS);
-	g_assert_cmpuint(sim_holding(sim, 7, MEM_DEAD), ==, 47);
-	g_assert_cmpuint(sim_complete(sim), ==, 47);
+	g_assert_cmpuint(sim_count_state(sim, 7, MEM_ALIVE), ==, 0);
+	sim_run_until(sim, 7, MEM_DEAD, 47, DEAD_MS);
+	g_assert_cmpuint(sim_count_state(sim, 7, MEM_DEAD), ==, 47);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 47);
 	sim_free(sim);
 }
 
@@ -59,11 +59,11 @@
 	struct sim *sim = settled(2, 1, 2);
 
 	sim->nodes[1].down = true;
-	sim_until(sim, 1, MEM_DEAD, 1, DEAD_MS);
-	g_assert_cmpuint(sim_holding(sim, 1, MEM_DEAD), ==, 1);
+	sim_run_until(sim, 1, MEM_DEAD, 1, DEAD_MS);
+	g_assert_cmpuint(sim_count_state(sim, 1, MEM_DEAD), ==, 1);
 	sim_start(sim, 1, 5000000);
-	sim_settle(sim, DEAD_MS);
-	g_assert_cmpuint(sim_complete(sim), ==, 2);
+	sim_converge(sim, DEAD_MS);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 2);
 	sim_free(sim);
 }
 
@@ -75,7 +75,7 @@
 	sim_run(sim, 500);
 	sim_start(sim, 4, 5000000);
 	sim_run(sim, 5000);
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
@@ -85,10 +85,10 @@
 	struct sim *sim = settled(16, 1, 3);
 
 	sim->nodes[4].down = true;
-	sim_until(sim, 4, MEM_DEAD, 15, DEAD_MS);
+	sim_run_until(sim, 4, MEM_DEAD, 15, DEAD_MS);
 	sim_start(sim, 4, 5);
-	sim_settle(sim, DEAD_MS);
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	sim_converge(sim, DEAD_MS);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
@@ -166,8 +166,8 @@
 	g_assert_cmpuint(mem_core_alive(sim->nodes[0].core), ==, 1);
 	sim->inspect = NULL;
 	sim->lost = NULL;
-	sim_settle(sim, 20000);
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	sim_converge(sim, 20000);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
@@ -200,7 +200,7 @@
 			g_assert_cmpuint(mem_core_alive(sim->nodes[i].core), >=,
 					 8);
 	}
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
@@ -211,14 +211,14 @@
 
 	sim->drop_waiting = true;
 	sim->nodes[3].paused = true;
-	sim_until(sim, 3, MEM_DEAD, 15, DEAD_MS);
+	sim_run_until(sim, 3, MEM_DEAD, 15, DEAD_MS);
 	sim_run(sim, 30000);
-	sim_wake(sim, 3);
+	sim_resume(sim, 3);
 	for (int i = 0; i < 200; i++) {
 		sim_run(sim, 100);
 		g_assert_cmpuint(mem_core_alive(sim->nodes[3].core), ==, 16);
 	}
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
@@ -244,7 +244,7 @@
 			sim_step(sim);
 		sim->nodes[3].paused = true;
 		sim_run(sim, 1700 + i);
-		sim_wake(sim, 3);
+		sim_resume(sim, 3);
 		for (int k = 0; k < 10; k++) {
 			g_assert_cmpuint(mem_core_alive(sim->nodes[3].core), ==,
 					 16);
@@ -263,11 +263,12 @@
 		sim->nodes[3].paused = true;
 		for (int k = 0; k < 35; k++) {
 			sim_run(sim, 100);
-			g_assert_cmpuint(sim_holding(sim, 3, MEM_DEAD), ==, 0);
+			g_assert_cmpuint(sim_count_state(sim, 3, MEM_DEAD), ==,
+					 0);
 		}
-		sim_wake(sim, 3);
+		sim_resume(sim, 3);
 		sim_run(sim, 3000);
-		g_assert_cmpuint(sim_complete(sim), ==, 16);
+		g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	}
 	sim_free(sim);
 }
@@ -282,14 +283,14 @@
 	while (sim_state(sim, 1, 3, NULL) != MEM_SUSPECT)
 		sim_run(sim, 100);
 	sim->nodes[1].paused = true;
-	sim_wake(sim, 3);
+	sim_resume(sim, 3);
 	sim_run(sim, 10000);
-	sim_wake(sim, 1);
+	sim_resume(sim, 1);
 	for (int ms = 0; ms < 5000; ms++) {
 		sim_step(sim);
 		g_assert_cmpint(sim_state(sim, 1, 3, NULL), !=, MEM_DEAD);
 	}
-	g_assert_cmpuint(sim_complete(sim), ==, 16);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 16);
 	sim_free(sim);
 }
 
@@ -299,9 +300,9 @@
 
 	mem_core_leave(sim->nodes[9].core);
 	sim_run(sim, LEAVING_MS);
-	g_assert_cmpuint(sim_holding(sim, 9, MEM_LEAVING), ==, 47);
+	g_assert_cmpuint(sim_count_state(sim, 9, MEM_LEAVING), ==, 47);
 	sim_run(sim, 20000);
-	g_assert_cmpuint(sim_holding(sim, 9, MEM_LEAVING), ==, 47);
+	g_assert_cmpuint(sim_count_state(sim, 9, MEM_LEAVING), ==, 47);
 	sim_free(sim);
 }
 
@@ -319,8 +320,9 @@
 	sim->lost = lose_some;
 	for (int i = 0; i < 3000; i++) {
 		sim_run(sim, 100);
-		g_assert_cmpuint(sim_holding(sim, (uint32_t)i % 48, MEM_DEAD),
-				 ==, 0);
+		g_assert_cmpuint(
+			sim_count_state(sim, (uint32_t)i % 48, MEM_DEAD), ==,
+			0);
 	}
 	sim_free(sim);
 }
@@ -357,7 +359,7 @@
 						 sim_us(sim)),
 				==, FS_E_PROTOCOL);
 	}
-	g_assert_cmpuint(sim_complete(sim), ==, 2);
+	g_assert_cmpuint(sim_count_converged(sim), ==, 2);
 	sim_free(sim);
 }
 
