--- a/src/ejc_service.c
+++ b/src/ejc_service.c
@@ -143,7 +143,8 @@
 }
 
 void ejc_service_request(struct ejc_service *service,
-			 const struct msg_eject_ask *request, int64_t now_us)
+			 const struct msg_eject_request *request,
+			 int64_t now_us)
 {
 	enum aud_rule trigger_rule = aud_rule_by_name(request->rule);
 	struct ejc_server *server = ejc_server_get(service, request->server);
--- a/src/msg_codec_in.c
+++ b/src/msg_codec_in.c
@@ -95,23 +95,23 @@
 	msg_end_array(r, &inner);
 }
 
-static void read_probe_ask(struct msg_reader *r, struct msg *m)
+static void read_probe_request(struct msg_reader *r, struct msg *m)
 {
-	m->probe_ask.serial = msg_get_u64(r, UINT64_MAX);
-	m->probe_ask.server = msg_get_text(r);
+	m->probe_request.serial = msg_get_u64(r, UINT64_MAX);
+	m->probe_request.server = msg_get_text(r);
 }
 
-static void read_probe_told(struct msg_reader *r, struct msg *m)
+static void read_probe_result(struct msg_reader *r, struct msg *m)
 {
-	m->probe_told.serial = msg_get_u64(r, UINT64_MAX);
-	m->probe_told.server = msg_get_text(r);
-	m->probe_told.reachable = msg_get_bool(r);
-	m->probe_told.took_us = msg_get_i64(r);
+	m->probe_result.serial = msg_get_u64(r, UINT64_MAX);
+	m->probe_result.server = msg_get_text(r);
+	m->probe_result.reachable = msg_get_bool(r);
+	m->probe_result.took_us = msg_get_i64(r);
 }
 
-static void read_config_ask(struct msg_reader *r, struct msg *m)
+static void read_config_request(struct msg_reader *r, struct msg *m)
 {
-	m->config_ask.known = msg_get_u64(r, UINT64_MAX);
+	m->config_request.known = msg_get_u64(r, UINT64_MAX);
 }
 
 static void read_config_text(struct msg_reader *r, struct msg *m)
@@ -147,7 +147,7 @@
 {
 	struct msg_reader inner;
 
-	m->feed_entries.whole_rev = msg_get_u64(r, UINT64_MAX);
+	m->feed_entries.snapshot_rev = msg_get_u64(r, UINT64_MAX);
 	inner = msg_get_array(r, 9);
 
 	while (!inner.bad && inner.left) {
@@ -176,7 +176,7 @@
 	msg_end_array(r, &inner);
 }
 
-static void read_feed_ask(struct msg_reader *r, struct msg *m)
+static void read_feed_request(struct msg_reader *r, struct msg *m)
 {
 	(void)r;
 	(void)m;
@@ -190,13 +190,13 @@
 	[MSG_PIECE] = read_piece,
 	[MSG_REFUSAL] = read_refusal,
 	[MSG_HANDOVER] = read_handover,
-	[MSG_PROBE_ASK] = read_probe_ask,
-	[MSG_PROBE_TOLD] = read_probe_told,
-	[MSG_CONFIG_ASK] = read_config_ask,
+	[MSG_PROBE_REQUEST] = read_probe_request,
+	[MSG_PROBE_RESULT] = read_probe_result,
+	[MSG_CONFIG_REQUEST] = read_config_request,
 	[MSG_CONFIG_TEXT] = read_config_text,
 	[MSG_TARGETS_LEAVING] = read_targets_leaving,
 	[MSG_FEED_ENTRIES] = read_feed_entries,
-	[MSG_FEED_ASK] = read_feed_ask,
+	[MSG_FEED_REQUEST] = read_feed_request,
 };
 
 msg_read_fn msg_reader_of(enum msg_type type)
