--- a/src/cnf.c
+++ b/src/cnf.c
@@ -115,7 +115,7 @@
 		cnf_peers_hint(cnf, m->config_hint.node, m->config_hint.version,
 			       now_us);
 		break;
-	case MSG_CONFIG_ASK:
+	case MSG_CONFIG_REQUEST:
 		cnf_peers_answer_request(cnf, m);
 		break;
 	case MSG_CONFIG_TEXT:
--- a/src/cnf_peers.c
+++ b/src/cnf_peers.c
@@ -20,9 +20,9 @@
 static void request_config(struct cnf *cnf, node_id id, uint64_t version,
 			   int64_t now_us)
 {
-	struct msg *m = msg_new(MSG_CONFIG_ASK, id, MSG_TASK_CONFIG);
+	struct msg *m = msg_new(MSG_CONFIG_REQUEST, id, MSG_TASK_CONFIG);
 
-	m->config_ask.known = cnf_store_version(&cnf->store);
+	m->config_request.known = cnf_store_version(&cnf->store);
 	cnf->requested_from = id;
 	cnf->requested_version = version;
 	cnf->requested_us = now_us;
@@ -60,7 +60,7 @@
 	const struct cfg *cfg = cnf->store.cfg;
 	struct msg *answer;
 
-	if (!cfg || cfg->version <= m->config_ask.known)
+	if (!cfg || cfg->version <= m->config_request.known)
 		return;
 	answer = msg_new(MSG_CONFIG_TEXT, m->from, MSG_TASK_CONFIG);
 	answer->config_text.version = cfg->version;
--- a/src/dsp.c
+++ b/src/dsp.c
@@ -116,7 +116,7 @@
 	case MSG_RECORD:
 		dsp_health_record(dsp, m, now_us);
 		break;
-	case MSG_PROBE_TOLD:
+	case MSG_PROBE_RESULT:
 		dsp_health_probe(dsp, m, now_us);
 		break;
 	case MSG_TARGETS_LEAVING:
--- a/src/dsp_judge.c
+++ b/src/dsp_judge.c
@@ -5,12 +5,13 @@
 			     enum hlt_action action, enum aud_rule rule)
 {
 	struct dsp *dsp = shard->dsp;
-	struct msg *m = msg_new(MSG_EJECT_ASK, dsp->node->self, MSG_TASK_EJECT);
+	struct msg *m =
+		msg_new(MSG_EJECT_REQUEST, dsp->node->self, MSG_TASK_EJECT);
 
-	m->eject_ask.service = g_strdup(dsp_shard_service(shard)->name);
-	m->eject_ask.server = g_strdup(shard->servers[i]->name);
-	m->eject_ask.rule = g_strdup(aud_rule_name(rule));
-	m->eject_ask.give_back = action == HLT_ACT_REQUEST_REINSTATEMENT;
+	m->eject_request.service = g_strdup(dsp_shard_service(shard)->name);
+	m->eject_request.server = g_strdup(shard->servers[i]->name);
+	m->eject_request.rule = g_strdup(aud_rule_name(rule));
+	m->eject_request.reinstate = action == HLT_ACT_REQUEST_REINSTATEMENT;
 	bus_send(dsp->node->bus, m);
 }
 
@@ -71,12 +72,12 @@
 	while (g_hash_table_iter_next(&iter, NULL, (void **)&shard)) {
 		for (uint32_t i = 0; i < shard->count; i++) {
 			if (!g_str_equal(shard->servers[i]->name,
-					 m->probe_told.server))
+					 m->probe_result.server))
 				continue;
 			hlt_probe_finished(shard->hlt, i,
-					   m->probe_told.reachable, now_us);
+					   m->probe_result.reachable, now_us);
 			dsp_leave_answer(shard, shard->servers[i],
-					 m->probe_told.draining, now_us);
+					 m->probe_result.draining, now_us);
 		}
 	}
 }
--- a/src/ejc.c
+++ b/src/ejc.c
@@ -74,14 +74,14 @@
 		ejc->view = mem_view_ref(m->view.view);
 		update_services(ejc);
 		break;
-	case MSG_EJECT_ASK:
+	case MSG_EJECT_REQUEST:
 		service = g_hash_table_lookup(ejc->services,
-					      m->eject_ask.service);
+					      m->eject_request.service);
 		if (service)
-			ejc_service_request(service, &m->eject_ask, now_us);
+			ejc_service_request(service, &m->eject_request, now_us);
 		break;
-	case MSG_PROBE_TOLD:
-		ejc_path_receive(ejc, &m->probe_told, now_us);
+	case MSG_PROBE_RESULT:
+		ejc_path_receive(ejc, &m->probe_result, now_us);
 		break;
 	default:
 		break;
--- a/src/ejc_impl.h
+++ b/src/ejc_impl.h
@@ -65,7 +65,8 @@
  *  ejection for failed connections (AUD_R_STEER_CONNECT) needs a path check
  *  first. */
 void ejc_service_request(struct ejc_service *service,
-			 const struct msg_eject_ask *request, int64_t now_us);
+			 const struct msg_eject_request *request,
+			 int64_t now_us);
 
 /** Fills in the scope of a service.
  *  @return false if the configuration no longer has the service */
@@ -80,7 +81,7 @@
 		    int64_t now_us);
 
 /** Accepts a probe result of a witness. */
-void ejc_path_receive(struct ejc *ejc, const struct msg_probe_told *result,
+void ejc_path_receive(struct ejc *ejc, const struct msg_probe_result *result,
 		      int64_t now_us);
 
 /** Completes path checks that have all answers, a witness that reaches the
--- a/src/ejc_path.c
+++ b/src/ejc_path.c
@@ -21,10 +21,10 @@
 static void query_member(struct ejc *ejc, const struct mem_member *member,
 			 const char *server, uint64_t serial)
 {
-	struct msg *m = msg_new(MSG_PROBE_ASK, member->id, MSG_TASK_PROBE);
+	struct msg *m = msg_new(MSG_PROBE_REQUEST, member->id, MSG_TASK_PROBE);
 
-	m->probe_ask.serial = serial;
-	m->probe_ask.server = g_strdup(server);
+	m->probe_request.serial = serial;
+	m->probe_request.server = g_strdup(server);
 	bus_send(ejc->node->bus, m);
 }
 
@@ -75,7 +75,7 @@
 }
 
 static struct ejc_path *find_path(struct ejc *ejc,
-				  const struct msg_probe_told *result)
+				  const struct msg_probe_result *result)
 {
 	GHashTableIter iter;
 	struct ejc_service *service;
@@ -92,7 +92,7 @@
 	return NULL;
 }
 
-void ejc_path_receive(struct ejc *ejc, const struct msg_probe_told *result,
+void ejc_path_receive(struct ejc *ejc, const struct msg_probe_result *result,
 		      int64_t now_us)
 {
 	struct ejc_path *path = find_path(ejc, result);
--- a/src/ejc_service.c
+++ b/src/ejc_service.c
@@ -143,14 +143,15 @@
 }
 
 void ejc_service_request(struct ejc_service *service,
-			 const struct msg_eject_ask *request, int64_t now_us)
+			 const struct msg_eject_request *request,
+			 int64_t now_us)
 {
 	enum aud_rule trigger_rule = aud_rule_by_name(request->rule);
 	struct ejc_server *server = ejc_server_get(service, request->server);
 
-	if (request->give_back || trigger_rule != AUD_R_STEER_CONNECT) {
+	if (request->reinstate || trigger_rule != AUD_R_STEER_CONNECT) {
 		flr_sync_request(service->sync, request->server, trigger_rule,
-				 request->give_back, now_us);
+				 request->reinstate, now_us);
 		return;
 	}
 	server->trigger_rule = trigger_rule;
--- a/src/fed.c
+++ b/src/fed.c
@@ -118,8 +118,8 @@
 	    now_us - fed->config_queried_us < FED_QUERY_INTERVAL_US)
 		return;
 	fed->config_queried_us = now_us;
-	m = msg_new(MSG_CONFIG_ASK, peer, MSG_TASK_CONFIG);
-	m->config_ask.known = fed->cfg ? fed->cfg->version : 0;
+	m = msg_new(MSG_CONFIG_REQUEST, peer, MSG_TASK_CONFIG);
+	m->config_request.known = fed->cfg ? fed->cfg->version : 0;
 	bus_send(fed->node->bus, m);
 }
 
@@ -127,7 +127,7 @@
 {
 	struct msg *m;
 
-	if (!fed->cfg || fed->cfg->version <= ask->config_ask.known)
+	if (!fed->cfg || fed->cfg->version <= ask->config_request.known)
 		return;
 	m = msg_new(MSG_CONFIG_TEXT, ask->from, MSG_TASK_CONFIG);
 	m->config_text.version = fed->cfg->version;
@@ -150,7 +150,7 @@
 			fed_request_config(fed, m->config_hint.node,
 					   m->config_hint.version, now_us);
 		break;
-	case MSG_CONFIG_ASK:
+	case MSG_CONFIG_REQUEST:
 		send_config(fed, m);
 		break;
 	case MSG_CONFIG_TEXT:
@@ -159,13 +159,13 @@
 					 strlen(m->config_text.text), "peer",
 					 now_us);
 		break;
-	case MSG_FEED_BEAT:
+	case MSG_FEED_HEARTBEAT:
 		fed_receive_heartbeat(fed, m, now_us);
 		break;
 	case MSG_FEED_ENTRIES:
 		fed_merge_entries(fed, m, now_us);
 		break;
-	case MSG_FEED_ASK:
+	case MSG_FEED_REQUEST:
 		fed_send_all_entries(fed, m, now_us);
 		break;
 	default:
--- a/src/fed_tell.c
+++ b/src/fed_tell.c
@@ -60,14 +60,16 @@
 /* The load exchange forwards it to all nodes. */
 static void send_heartbeat(struct fed *fed, int64_t now_us)
 {
-	struct msg *m = msg_new(MSG_FEED_BEAT, fed->node->self, MSG_TASK_LOAD);
-
-	m->feed_beat.digest = dir_digest(fed->dir);
-	m->feed_beat.config_version = fed->cfg ? fed->cfg->version : 0;
-	m->feed_beat.fresh = fed->targets.listed &&
-			     now_us - fed->targets.answered_us < FED_FRESH_US &&
-			     now_us - fed->config.answered_us <
-				     FED_FRESH_US + FED_CONFIG_LONG_POLL_US;
+	struct msg *m =
+		msg_new(MSG_FEED_HEARTBEAT, fed->node->self, MSG_TASK_LOAD);
+
+	m->feed_heartbeat.digest = dir_digest(fed->dir);
+	m->feed_heartbeat.config_version = fed->cfg ? fed->cfg->version : 0;
+	m->feed_heartbeat.fresh =
+		fed->targets.listed &&
+		now_us - fed->targets.answered_us < FED_FRESH_US &&
+		now_us - fed->config.answered_us <
+			FED_FRESH_US + FED_CONFIG_LONG_POLL_US;
 	bus_send(fed->node->bus, m);
 }
 
@@ -94,7 +96,7 @@
 }
 
 static void request_entries(struct fed *fed,
-			    const struct msg_feed_beat *heartbeat,
+			    const struct msg_feed_heartbeat *heartbeat,
 			    int64_t now_us)
 {
 	/* Changes in flight cause a digest mismatch for a moment. */
@@ -104,12 +106,12 @@
 		return;
 	fed->queried_us = now_us;
 	bus_send(fed->node->bus,
-		 msg_new(MSG_FEED_ASK, heartbeat->reader, MSG_TASK_CONFIG));
+		 msg_new(MSG_FEED_REQUEST, heartbeat->reader, MSG_TASK_CONFIG));
 }
 
 void fed_receive_heartbeat(struct fed *fed, const struct msg *m, int64_t now_us)
 {
-	const struct msg_feed_beat *heartbeat = &m->feed_beat;
+	const struct msg_feed_heartbeat *heartbeat = &m->feed_heartbeat;
 
 	if (!heartbeat->fresh)
 		return;
@@ -132,7 +134,7 @@
 	const GArray *removed = m->feed_entries.removed;
 
 	fed->merging = true;
-	if (m->feed_entries.whole_rev)
+	if (m->feed_entries.snapshot_rev)
 		dir_list_begin(fed->dir);
 	for (guint i = 0; i < entries->len; i++) {
 		const struct dir_entry *entry =
@@ -149,8 +151,8 @@
 	}
 	/* A sender that started recently has no removal records of targets
 	 * removed before: drop what its complete list lacks. */
-	if (m->feed_entries.whole_rev)
-		dir_list_end(fed->dir, m->feed_entries.whole_rev, 0, now_us);
+	if (m->feed_entries.snapshot_rev)
+		dir_list_end(fed->dir, m->feed_entries.snapshot_rev, 0, now_us);
 	fed->merging = false;
 	if (entries->len)
 		fed->directory_known = true;
@@ -189,7 +191,7 @@
 	};
 
 	if (fed->targets.listed)
-		full.m->feed_entries.whole_rev = fed->targets.from_rev;
+		full.m->feed_entries.snapshot_rev = fed->targets.from_rev;
 	dir_each(fed->dir, add_target, &full);
 	dir_each_tombstone(fed->dir, add_removed, &full);
 	bus_send(fed->node->bus, full.m);
--- a/src/lnk_hello.c
+++ b/src/lnk_hello.c
@@ -69,7 +69,7 @@
 	g_autofree char *name = msg_get_text(r);
 
 	if (!name || !*name || strlen(name) >= FS_NAME_MAX)
-		r->bad = true;
+		r->malformed = true;
 	else
 		g_strlcpy(out, name, FS_NAME_MAX);
 }
@@ -79,7 +79,7 @@
 	GBytes *bytes = msg_get_bytes(r);
 
 	if (!bytes || g_bytes_get_size(bytes) != size)
-		r->bad = true;
+		r->malformed = true;
 	else
 		memcpy(out, g_bytes_get_data(bytes, NULL), size);
 	g_clear_pointer(&bytes, g_bytes_unref);
@@ -116,7 +116,7 @@
 		      void (*read)(struct msg_reader *r, void *out), void *out)
 {
 	msgpack_unpacked unpacked;
-	struct msg_reader r = {.bad = true};
+	struct msg_reader r = {.malformed = true};
 	size_t at = 0;
 
 	if (!msg_scan(data, size))
@@ -127,11 +127,11 @@
 	    unpacked.data.type == MSGPACK_OBJECT_ARRAY) {
 		r.next = unpacked.data.via.array.ptr;
 		r.left = unpacked.data.via.array.size;
-		r.bad = false;
+		r.malformed = false;
 		read(&r, out);
 	}
 	msgpack_unpacked_destroy(&unpacked);
-	return r.bad || r.left ? FS_E_PROTOCOL : 0;
+	return r.malformed || r.left ? FS_E_PROTOCOL : 0;
 }
 
 int lnk_hello_read(const uint8_t *data, size_t size, struct lnk_hello *out)
--- a/src/lod.c
+++ b/src/lod.c
@@ -199,13 +199,13 @@
 static void notify_feed(struct lod *lod, const struct lod_packet *packet)
 {
 	struct msg *m =
-		msg_new(MSG_FEED_BEAT, lod->node->self, MSG_TASK_CONFIG);
+		msg_new(MSG_FEED_HEARTBEAT, lod->node->self, MSG_TASK_CONFIG);
 
-	m->feed_beat.digest = packet->feed.digest;
-	m->feed_beat.config_version = packet->feed.config_version;
-	m->feed_beat.fresh = packet->feed.fresh;
-	m->feed_beat.local = packet->domain == lod->domain;
-	m->feed_beat.reader = packet->sender;
+	m->feed_heartbeat.digest = packet->feed.digest;
+	m->feed_heartbeat.config_version = packet->feed.config_version;
+	m->feed_heartbeat.fresh = packet->feed.fresh;
+	m->feed_heartbeat.local = packet->domain == lod->domain;
+	m->feed_heartbeat.reader = packet->sender;
 	bus_send(lod->node->bus, m);
 }
 
@@ -387,10 +387,10 @@
 {
 	struct lod *lod = task;
 
-	if (m->type == MSG_FEED_BEAT) {
-		lod->feed.digest = m->feed_beat.digest;
-		lod->feed.config_version = m->feed_beat.config_version;
-		lod->feed.fresh = m->feed_beat.fresh;
+	if (m->type == MSG_FEED_HEARTBEAT) {
+		lod->feed.digest = m->feed_heartbeat.digest;
+		lod->feed.config_version = m->feed_heartbeat.config_version;
+		lod->feed.fresh = m->feed_heartbeat.fresh;
 		lod->feed_us = now_us;
 	}
 	if (m->type != MSG_VIEW)
--- a/src/msg.c
+++ b/src/msg.c
@@ -94,11 +94,11 @@
 	g_clear_pointer(&handover->keys, g_array_unref);
 }
 
-static void eject_ask_clear(struct msg_eject_ask *ask)
+static void eject_request_clear(struct msg_eject_request *request)
 {
-	g_free(ask->service);
-	g_free(ask->server);
-	g_free(ask->rule);
+	g_free(request->service);
+	g_free(request->server);
+	g_free(request->rule);
 }
 
 void msg_free(struct msg *m)
@@ -118,11 +118,11 @@
 	case MSG_HANDOVER:
 		handover_clear(&m->handover);
 		break;
-	case MSG_PROBE_ASK:
-		g_free(m->probe_ask.server);
+	case MSG_PROBE_REQUEST:
+		g_free(m->probe_request.server);
 		break;
-	case MSG_PROBE_TOLD:
-		g_free(m->probe_told.server);
+	case MSG_PROBE_RESULT:
+		g_free(m->probe_result.server);
 		break;
 	case MSG_CONFIG_TEXT:
 		g_free(m->config_text.text);
@@ -140,8 +140,8 @@
 	case MSG_VIEW:
 		mem_view_unref(m->view.view);
 		break;
-	case MSG_EJECT_ASK:
-		eject_ask_clear(&m->eject_ask);
+	case MSG_EJECT_REQUEST:
+		eject_request_clear(&m->eject_request);
 		break;
 	case MSG_RECORD:
 		g_free(m->record.service);
--- a/src/msg.h
+++ b/src/msg.h
@@ -28,28 +28,28 @@
 	/* Shards: between dispatchers */
 	MSG_HANDOVER, /* what a leaving dispatcher knows of a shard */
 	/* Reachability: dispatch to the probe task of another domain */
-	MSG_PROBE_ASK,
-	MSG_PROBE_TOLD,
+	MSG_PROBE_REQUEST,
+	MSG_PROBE_RESULT,
 	/* Configuration: between nodes */
-	MSG_CONFIG_ASK,	 /* send me your newest text */
-	MSG_CONFIG_TEXT, /* the newest text I know */
+	MSG_CONFIG_REQUEST, /* send me your newest text */
+	MSG_CONFIG_TEXT,    /* the newest text I know */
 	/* Leaving targets: from the pollers of the VM list to dispatchers */
 	MSG_TARGETS_LEAVING,
 	/* Directory of targets: between the feed tasks of nodes */
 	MSG_FEED_ENTRIES, /* entries that changed, or all of them */
-	MSG_FEED_ASK,	  /* send me all you have */
+	MSG_FEED_REQUEST, /* send me all you have */
 	MSG_REMOTE_COUNT,
 	/* Local only */
-	MSG_CONFIG = 64, /* a new configuration is in force */
-	MSG_VIEW,	 /* membership has changed */
-	MSG_EJECT_ASK,	 /* dispatch asks for an ejection or a return */
+	MSG_CONFIG = 64,   /* a new configuration is in force */
+	MSG_VIEW,	   /* membership has changed */
+	MSG_EJECT_REQUEST, /* dispatch asks for an ejection or a return */
 	MSG_RECORD,    /* the ejection record of a service is known or lapsed */
 	MSG_STOP,      /* planned stop: finish what is in flight */
 	MSG_STOPPED,   /* the task has nothing left in flight */
 	MSG_LINK_DOWN, /* the link to a node broke or fell silent */
-	MSG_CONFIG_HINT, /* a member has a newer configuration */
-	MSG_CONTACTS,	 /* entry VMs of the platform's list */
-	MSG_FEED_BEAT,	 /* what a reader knows, and how fresh it is; between
+	MSG_CONFIG_HINT,    /* a member has a newer configuration */
+	MSG_CONTACTS,	    /* entry VMs of the platform's list */
+	MSG_FEED_HEARTBEAT, /* what a reader knows, and how fresh it is; between
 			  * nodes it goes with the load exchange */
 };
 
@@ -169,14 +169,14 @@
 	GArray *keys; /* struct msg_key */
 };
 
-/** MSG_PROBE_ASK. */
-struct msg_probe_ask {
+/** MSG_PROBE_REQUEST. */
+struct msg_probe_request {
 	uint64_t serial;
 	char *server; /* name */
 };
 
-/** MSG_PROBE_TOLD. */
-struct msg_probe_told {
+/** MSG_PROBE_RESULT. */
+struct msg_probe_result {
 	uint64_t serial;
 	char *server;
 	bool reachable;
@@ -184,8 +184,8 @@
 	bool draining; /* told by the target; local only */
 };
 
-/** MSG_CONFIG_ASK. */
-struct msg_config_ask {
+/** MSG_CONFIG_REQUEST. */
+struct msg_config_request {
 	uint64_t known; /* version the sender has */
 };
 
@@ -200,8 +200,8 @@
 	GPtrArray *servers; /* char *, names */
 };
 
-/** MSG_FEED_BEAT. */
-struct msg_feed_beat {
+/** MSG_FEED_HEARTBEAT. */
+struct msg_feed_heartbeat {
 	uint64_t digest;	 /* dir_digest() of the sender */
 	uint64_t config_version; /* 0: none */
 	bool fresh;		 /* the store answered it a moment ago */
@@ -217,10 +217,10 @@
 
 /** MSG_FEED_ENTRIES. */
 struct msg_feed_entries {
-	uint64_t whole_rev; /* these are all entries of that revision; 0: only
+	uint64_t snapshot_rev; /* these are all entries of that revision; 0: only
 			     * changes, or not known to be all */
-	GArray *entries;    /* struct dir_entry; cold_us from now on */
-	GArray *removed;    /* struct msg_removed */
+	GArray *entries;       /* struct dir_entry; cold_us from now on */
+	GArray *removed;       /* struct msg_removed */
 };
 
 /** MSG_CONFIG. */
@@ -233,12 +233,12 @@
 	struct mem_view *view;
 };
 
-/** MSG_EJECT_ASK. */
-struct msg_eject_ask {
+/** MSG_EJECT_REQUEST. */
+struct msg_eject_request {
 	char *service;
 	char *server;
 	char *rule;	/* name of the rule that judged the server */
-	bool give_back; /* true: return it, false: eject it */
+	bool reinstate; /* true: return it, false: eject it */
 };
 
 struct flr_record;
@@ -274,16 +274,16 @@
 		struct msg_piece piece;
 		struct msg_refusal refusal;
 		struct msg_handover handover;
-		struct msg_probe_ask probe_ask;
-		struct msg_probe_told probe_told;
-		struct msg_config_ask config_ask;
+		struct msg_probe_request probe_request;
+		struct msg_probe_result probe_result;
+		struct msg_config_request config_request;
 		struct msg_config_text config_text;
 		struct msg_targets_leaving targets_leaving;
-		struct msg_feed_beat feed_beat;
+		struct msg_feed_heartbeat feed_heartbeat;
 		struct msg_feed_entries feed_entries;
 		struct msg_config config;
 		struct msg_view view;
-		struct msg_eject_ask eject_ask;
+		struct msg_eject_request eject_request;
 		struct msg_record record;
 		struct msg_link_down link_down;
 		struct msg_config_hint config_hint;
--- a/src/msg_codec.c
+++ b/src/msg_codec.c
@@ -44,7 +44,7 @@
 		    (enum msg_task)head[1].via.u64);
 	r.next = head + HEAD_MEMBERS;
 	read(&r, m);
-	if (r.bad || r.left)
+	if (r.malformed || r.left)
 		g_clear_pointer(&m, msg_free);
 	return m;
 }
--- a/src/msg_codec.h
+++ b/src/msg_codec.h
@@ -18,11 +18,11 @@
 	msgpack_packer packer;
 };
 
-/** Takes members from a decoded array; any mismatch sets @p bad. */
+/** Takes members from a decoded array; any mismatch sets @p malformed. */
 struct msg_reader {
 	const msgpack_object *next;
 	uint32_t left;
-	bool bad;
+	bool malformed;
 };
 
 /** Writes the members of one type. */
@@ -49,7 +49,7 @@
 void msg_put_headers(struct msg_writer *w, const GArray *headers);
 
 /* The same on the way in; results are owned by the caller and are zero or
- * NULL once the reader is bad. */
+ * NULL once the reader is malformed. */
 uint64_t msg_get_u64(struct msg_reader *r, uint64_t max);
 uint32_t msg_get_u32(struct msg_reader *r);
 int64_t msg_get_i64(struct msg_reader *r);
@@ -65,7 +65,7 @@
 /** Enters an array whose count must be a multiple of @p step. */
 struct msg_reader msg_get_array(struct msg_reader *r, uint32_t step);
 
-/** Leaves an array: what is wrong or left inside makes @p r bad. */
+/** Leaves an array: what is wrong or left inside makes @p r malformed. */
 void msg_end_array(struct msg_reader *r, const struct msg_reader *inner);
 
 /**
--- a/src/msg_codec_get.c
+++ b/src/msg_codec_get.c
@@ -2,13 +2,13 @@
 
 #include "msg_codec.h"
 
-static const msgpack_object *take(struct msg_reader *r,
-				  msgpack_object_type type)
+static const msgpack_object *next_object(struct msg_reader *r,
+					 msgpack_object_type type)
 {
 	const msgpack_object *object = r->next;
 
-	if (r->bad || !r->left || object->type != type) {
-		r->bad = true;
+	if (r->malformed || !r->left || object->type != type) {
+		r->malformed = true;
 		return NULL;
 	}
 	r->next++;
@@ -18,12 +18,13 @@
 
 uint64_t msg_get_u64(struct msg_reader *r, uint64_t max)
 {
-	const msgpack_object *object = take(r, MSGPACK_OBJECT_POSITIVE_INTEGER);
+	const msgpack_object *object =
+		next_object(r, MSGPACK_OBJECT_POSITIVE_INTEGER);
 
 	if (!object)
 		return 0;
 	if (object->via.u64 > max)
-		r->bad = true;
+		r->malformed = true;
 	return object->via.u64;
 }
 
@@ -36,14 +37,15 @@
 {
 	if (r->left && r->next->type == MSGPACK_OBJECT_POSITIVE_INTEGER)
 		return (int64_t)msg_get_u64(r, INT64_MAX);
-	const msgpack_object *object = take(r, MSGPACK_OBJECT_NEGATIVE_INTEGER);
+	const msgpack_object *object =
+		next_object(r, MSGPACK_OBJECT_NEGATIVE_INTEGER);
 
 	return object ? object->via.i64 : 0;
 }
 
 bool msg_get_bool(struct msg_reader *r)
 {
-	const msgpack_object *object = take(r, MSGPACK_OBJECT_BOOLEAN);
+	const msgpack_object *object = next_object(r, MSGPACK_OBJECT_BOOLEAN);
 
 	return object && object->via.boolean;
 }
@@ -51,7 +53,7 @@
 /* Text with a NUL inside would be cut short, so it is refused. */
 char *msg_get_text(struct msg_reader *r)
 {
-	const msgpack_object *object = take(r, MSGPACK_OBJECT_STR);
+	const msgpack_object *object = next_object(r, MSGPACK_OBJECT_STR);
 
 	if (!object)
 		return NULL;
@@ -59,7 +61,7 @@
 	if (!object->via.str.size)
 		return g_strdup("");
 	if (memchr(object->via.str.ptr, '\0', object->via.str.size)) {
-		r->bad = true;
+		r->malformed = true;
 		return NULL;
 	}
 	return g_strndup(object->via.str.ptr, object->via.str.size);
@@ -68,7 +70,7 @@
 char *msg_get_text_or_nil(struct msg_reader *r)
 {
 	if (r->left && r->next->type == MSGPACK_OBJECT_NIL) {
-		take(r, MSGPACK_OBJECT_NIL);
+		next_object(r, MSGPACK_OBJECT_NIL);
 		return NULL;
 	}
 	return msg_get_text(r);
@@ -76,7 +78,7 @@
 
 GBytes *msg_get_bytes(struct msg_reader *r)
 {
-	const msgpack_object *object = take(r, MSGPACK_OBJECT_BIN);
+	const msgpack_object *object = next_object(r, MSGPACK_OBJECT_BIN);
 
 	if (!object)
 		return NULL;
@@ -86,26 +88,26 @@
 /* Enters an array whose count is a multiple of @p step. */
 struct msg_reader msg_get_array(struct msg_reader *r, uint32_t step)
 {
-	const msgpack_object *object = take(r, MSGPACK_OBJECT_ARRAY);
-	struct msg_reader inner = {.bad = true};
+	const msgpack_object *object = next_object(r, MSGPACK_OBJECT_ARRAY);
+	struct msg_reader inner = {.malformed = true};
 
 	if (!object)
 		return inner;
 	if (object->via.array.size % step) {
-		r->bad = true;
+		r->malformed = true;
 		return inner;
 	}
 	inner.next = object->via.array.ptr;
 	inner.left = object->via.array.size;
-	inner.bad = false;
+	inner.malformed = false;
 	return inner;
 }
 
 /* Leaves an array: whatever was wrong inside is wrong outside. */
 void msg_end_array(struct msg_reader *r, const struct msg_reader *inner)
 {
-	if (inner->bad || inner->left)
-		r->bad = true;
+	if (inner->malformed || inner->left)
+		r->malformed = true;
 }
 
 void msg_get_id(struct msg_reader *r, struct req_id *id)
@@ -132,7 +134,7 @@
 	GArray *headers = msg_headers_new();
 	struct msg_reader inner = msg_get_array(r, 2);
 
-	while (!inner.bad && inner.left) {
+	while (!inner.malformed && inner.left) {
 		struct msg_header header = {0};
 
 		header.name = msg_get_text(&inner);
--- a/src/msg_codec_in.c
+++ b/src/msg_codec_in.c
@@ -46,7 +46,7 @@
 	answer->server = msg_get_text(r);
 	answer->tries = msg_get_u32(r);
 	if (answer->length < -1)
-		r->bad = true;
+		r->malformed = true;
 }
 
 static void read_piece(struct msg_reader *r, struct msg *m)
@@ -70,7 +70,7 @@
 	msg_get_load(r, &refusal->load);
 	refusal->tries = msg_get_u32(r);
 	if (err >= 0 || err < FS_E_AUDIT || refusal->outcome == FS_ANSWERED)
-		r->bad = true;
+		r->malformed = true;
 	else
 		refusal->err = (int)err;
 }
@@ -84,7 +84,7 @@
 	handover->region = msg_get_text(r);
 	handover->shard = msg_get_u32(r);
 	inner = msg_get_array(r, 3);
-	while (!inner.bad && inner.left) {
+	while (!inner.malformed && inner.left) {
 		struct msg_key key = {0};
 
 		key.key = msg_get_text(&inner);
@@ -95,23 +95,23 @@
 	msg_end_array(r, &inner);
 }
 
-static void read_probe_ask(struct msg_reader *r, struct msg *m)
+static void read_probe_request(struct msg_reader *r, struct msg *m)
 {
-	m->probe_ask.serial = msg_get_u64(r, UINT64_MAX);
-	m->probe_ask.server = msg_get_text(r);
+	m->probe_request.serial = msg_get_u64(r, UINT64_MAX);
+	m->probe_request.server = msg_get_text(r);
 }
 
-static void read_probe_told(struct msg_reader *r, struct msg *m)
+static void read_probe_result(struct msg_reader *r, struct msg *m)
 {
-	m->probe_told.serial = msg_get_u64(r, UINT64_MAX);
-	m->probe_told.server = msg_get_text(r);
-	m->probe_told.reachable = msg_get_bool(r);
-	m->probe_told.took_us = msg_get_i64(r);
+	m->probe_result.serial = msg_get_u64(r, UINT64_MAX);
+	m->probe_result.server = msg_get_text(r);
+	m->probe_result.reachable = msg_get_bool(r);
+	m->probe_result.took_us = msg_get_i64(r);
 }
 
-static void read_config_ask(struct msg_reader *r, struct msg *m)
+static void read_config_request(struct msg_reader *r, struct msg *m)
 {
-	m->config_ask.known = msg_get_u64(r, UINT64_MAX);
+	m->config_request.known = msg_get_u64(r, UINT64_MAX);
 }
 
 static void read_config_text(struct msg_reader *r, struct msg *m)
@@ -125,7 +125,7 @@
 	struct msg_reader inner = msg_get_array(r, 1);
 
 	m->targets_leaving.servers = g_ptr_array_new_with_free_func(g_free);
-	while (!inner.bad && inner.left) {
+	while (!inner.malformed && inner.left) {
 		char *name = msg_get_text(&inner);
 
 		if (name)
@@ -135,28 +135,28 @@
 }
 
 /* A text that does not fit its field makes the message malformed. */
-static void read_into(struct msg_reader *r, char *out, size_t size)
+static void read_fixed_text(struct msg_reader *r, char *out, size_t size)
 {
 	g_autofree char *text = msg_get_text(r);
 
 	if (text && g_strlcpy(out, text, size) >= size)
-		r->bad = true;
+		r->malformed = true;
 }
 
 static void read_feed_entries(struct msg_reader *r, struct msg *m)
 {
 	struct msg_reader inner;
 
-	m->feed_entries.whole_rev = msg_get_u64(r, UINT64_MAX);
+	m->feed_entries.snapshot_rev = msg_get_u64(r, UINT64_MAX);
 	inner = msg_get_array(r, 9);
 
-	while (!inner.bad && inner.left) {
+	while (!inner.malformed && inner.left) {
 		struct dir_entry e = {0};
 
-		read_into(&inner, e.id, sizeof(e.id));
-		read_into(&inner, e.service, sizeof(e.service));
-		read_into(&inner, e.address, sizeof(e.address));
-		read_into(&inner, e.domain, sizeof(e.domain));
+		read_fixed_text(&inner, e.id, sizeof(e.id));
+		read_fixed_text(&inner, e.service, sizeof(e.service));
+		read_fixed_text(&inner, e.address, sizeof(e.address));
+		read_fixed_text(&inner, e.domain, sizeof(e.domain));
 		e.born = msg_get_u64(&inner, UINT64_MAX);
 		e.rev = msg_get_u64(&inner, UINT64_MAX);
 		e.slots = msg_get_u32(&inner);
@@ -166,17 +166,17 @@
 	}
 	msg_end_array(r, &inner);
 	inner = msg_get_array(r, 2);
-	while (!inner.bad && inner.left) {
+	while (!inner.malformed && inner.left) {
 		struct msg_removed removed = {0};
 
-		read_into(&inner, removed.id, sizeof(removed.id));
+		read_fixed_text(&inner, removed.id, sizeof(removed.id));
 		removed.rev = msg_get_u64(&inner, UINT64_MAX);
 		g_array_append_val(m->feed_entries.removed, removed);
 	}
 	msg_end_array(r, &inner);
 }
 
-static void read_feed_ask(struct msg_reader *r, struct msg *m)
+static void read_feed_request(struct msg_reader *r, struct msg *m)
 {
 	(void)r;
 	(void)m;
@@ -190,13 +190,13 @@
 	[MSG_PIECE] = read_piece,
 	[MSG_REFUSAL] = read_refusal,
 	[MSG_HANDOVER] = read_handover,
-	[MSG_PROBE_ASK] = read_probe_ask,
-	[MSG_PROBE_TOLD] = read_probe_told,
-	[MSG_CONFIG_ASK] = read_config_ask,
+	[MSG_PROBE_REQUEST] = read_probe_request,
+	[MSG_PROBE_RESULT] = read_probe_result,
+	[MSG_CONFIG_REQUEST] = read_config_request,
 	[MSG_CONFIG_TEXT] = read_config_text,
 	[MSG_TARGETS_LEAVING] = read_targets_leaving,
 	[MSG_FEED_ENTRIES] = read_feed_entries,
-	[MSG_FEED_ASK] = read_feed_ask,
+	[MSG_FEED_REQUEST] = read_feed_request,
 };
 
 msg_read_fn msg_reader_of(enum msg_type type)
--- a/src/msg_codec_out.c
+++ b/src/msg_codec_out.c
@@ -85,23 +85,23 @@
 	}
 }
 
-static void write_probe_ask(struct msg_writer *w, const struct msg *m)
+static void write_probe_request(struct msg_writer *w, const struct msg *m)
 {
-	msg_put_u64(w, m->probe_ask.serial);
-	msg_put_text(w, m->probe_ask.server);
+	msg_put_u64(w, m->probe_request.serial);
+	msg_put_text(w, m->probe_request.server);
 }
 
-static void write_probe_told(struct msg_writer *w, const struct msg *m)
+static void write_probe_result(struct msg_writer *w, const struct msg *m)
 {
-	msg_put_u64(w, m->probe_told.serial);
-	msg_put_text(w, m->probe_told.server);
-	msg_put_bool(w, m->probe_told.reachable);
-	msg_put_i64(w, m->probe_told.took_us);
+	msg_put_u64(w, m->probe_result.serial);
+	msg_put_text(w, m->probe_result.server);
+	msg_put_bool(w, m->probe_result.reachable);
+	msg_put_i64(w, m->probe_result.took_us);
 }
 
-static void write_config_ask(struct msg_writer *w, const struct msg *m)
+static void write_config_request(struct msg_writer *w, const struct msg *m)
 {
-	msg_put_u64(w, m->config_ask.known);
+	msg_put_u64(w, m->config_request.known);
 }
 
 static void write_config_text(struct msg_writer *w, const struct msg *m)
@@ -125,7 +125,7 @@
 	const GArray *entries = m->feed_entries.entries;
 	const GArray *removed = m->feed_entries.removed;
 
-	msg_put_u64(w, m->feed_entries.whole_rev);
+	msg_put_u64(w, m->feed_entries.snapshot_rev);
 	msgpack_pack_array(&w->packer, (size_t)9 * entries->len);
 	for (guint i = 0; i < entries->len; i++) {
 		const struct dir_entry *e =
@@ -151,7 +151,7 @@
 	}
 }
 
-static void write_feed_ask(struct msg_writer *w, const struct msg *m)
+static void write_feed_request(struct msg_writer *w, const struct msg *m)
 {
 	(void)w;
 	(void)m;
@@ -171,13 +171,13 @@
 	[MSG_PIECE] = {4, write_piece},
 	[MSG_REFUSAL] = {6, write_refusal},
 	[MSG_HANDOVER] = {4, write_handover},
-	[MSG_PROBE_ASK] = {2, write_probe_ask},
-	[MSG_PROBE_TOLD] = {4, write_probe_told},
-	[MSG_CONFIG_ASK] = {1, write_config_ask},
+	[MSG_PROBE_REQUEST] = {2, write_probe_request},
+	[MSG_PROBE_RESULT] = {4, write_probe_result},
+	[MSG_CONFIG_REQUEST] = {1, write_config_request},
 	[MSG_CONFIG_TEXT] = {2, write_config_text},
 	[MSG_TARGETS_LEAVING] = {1, write_targets_leaving},
 	[MSG_FEED_ENTRIES] = {3, write_feed_entries},
-	[MSG_FEED_ASK] = {0, write_feed_ask},
+	[MSG_FEED_REQUEST] = {0, write_feed_request},
 };
 
 msg_write_fn msg_writer_of(enum msg_type type, uint32_t *members)
--- a/src/prb.c
+++ b/src/prb.c
@@ -64,13 +64,13 @@
 			uint64_t serial, const char *server,
 			const struct prb_result *result)
 {
-	struct msg *m = msg_new(MSG_PROBE_TOLD, to, task);
+	struct msg *m = msg_new(MSG_PROBE_RESULT, to, task);
 
-	m->probe_told.serial = serial;
-	m->probe_told.server = g_strdup(server);
-	m->probe_told.reachable = result->reachable;
-	m->probe_told.took_us = result->took_us;
-	m->probe_told.draining = result->draining;
+	m->probe_result.serial = serial;
+	m->probe_result.server = g_strdup(server);
+	m->probe_result.reachable = result->reachable;
+	m->probe_result.took_us = result->took_us;
+	m->probe_result.draining = result->draining;
 	bus_send(prb->node->bus, m);
 }
 
@@ -187,8 +187,9 @@
 
 static void accept_probe_request(struct prb *prb, const struct msg *m)
 {
-	handle h = prb->cfg ? cfg_find_server(prb->cfg, m->probe_ask.server) :
-			      FS_NONE;
+	handle h = prb->cfg ?
+			   cfg_find_server(prb->cfg, m->probe_request.server) :
+			   FS_NONE;
 	const struct cfg_server *server;
 	struct prb_remote *remote;
 
@@ -198,8 +199,8 @@
 	remote = g_new0(struct prb_remote, 1);
 	remote->prb = prb;
 	remote->from = m->from;
-	remote->serial = m->probe_ask.serial;
-	remote->server = g_strdup(m->probe_ask.server);
+	remote->serial = m->probe_request.serial;
+	remote->server = g_strdup(m->probe_request.server);
 	g_hash_table_add(prb->remote, remote);
 	remote->call =
 		prb_call_new(prb->crl, server->address,
@@ -224,7 +225,7 @@
 		prb->view = mem_view_ref(m->view.view);
 		update_targets(prb, now_us);
 		break;
-	case MSG_PROBE_ASK:
+	case MSG_PROBE_REQUEST:
 		accept_probe_request(prb, m);
 		break;
 	default:
--- a/tests/unit_fed.c
+++ b/tests/unit_fed.c
@@ -236,13 +236,14 @@
 
 static void receive_heartbeat(uint64_t digest, uint64_t version, bool local)
 {
-	struct msg *m = msg_new(MSG_FEED_BEAT, d.node.self, MSG_TASK_CONFIG);
-
-	m->feed_beat.digest = digest;
-	m->feed_beat.config_version = version;
-	m->feed_beat.fresh = true;
-	m->feed_beat.local = local;
-	m->feed_beat.reader = 77;
+	struct msg *m =
+		msg_new(MSG_FEED_HEARTBEAT, d.node.self, MSG_TASK_CONFIG);
+
+	m->feed_heartbeat.digest = digest;
+	m->feed_heartbeat.config_version = version;
+	m->feed_heartbeat.fresh = true;
+	m->feed_heartbeat.local = local;
+	m->feed_heartbeat.reader = 77;
 	bus_deliver(d.node.bus, m);
 }
 
@@ -292,7 +293,7 @@
 		receive_heartbeat(12345, 8, false);
 		run(50 * FS_US_PER_MS);
 	}
-	g_assert_true(was_queried(MSG_CONFIG_ASK));
+	g_assert_true(was_queried(MSG_CONFIG_REQUEST));
 	m = msg_new(MSG_FEED_ENTRIES, d.node.self, MSG_TASK_CONFIG);
 	g_array_append_val(m->feed_entries.removed, removed);
 	bus_deliver(d.node.bus, m);
@@ -314,7 +315,7 @@
 	g_strlcpy(e.service, "pay", sizeof(e.service));
 	g_strlcpy(e.address, "127.0.0.1:1", sizeof(e.address));
 	g_array_append_val(m->feed_entries.entries, e);
-	m->feed_entries.whole_rev = 100;
+	m->feed_entries.snapshot_rev = 100;
 	bus_deliver(d.node.bus, m);
 	run(20 * FS_US_PER_MS);
 	g_assert_cmpuint(dir_count(d.dir), ==, 1);
