--- a/src/msg.h
+++ b/src/msg.h
@@ -2,10 +2,10 @@
  * @file msg.h
  * @brief Typed messages between tasks, in one process or between nodes.
  *
- * A message is made with msg_new(), filled in, and given to the bus, which
- * owns it from then on. Text members are allocated with GLib and may be NULL
- * where the comment says so; byte strings are GBytes. Messages marked "local"
- * never leave the process and have no encoding.
+ * The caller creates a message with msg_new(), fills it in and passes it to the
+ * bus, which takes ownership. String members are allocated with GLib and may be
+ * NULL where documented; byte strings are GBytes. Messages marked "local" never
+ * leave the process and have no encoding.
  */
 #ifndef MSG_H
 #define MSG_H
@@ -17,40 +17,40 @@
 #include "mem.h"
 
 enum msg_type {
-	/* Requests: entry to dispatch */
-	MSG_REQUEST = 1, /* run this */
-	MSG_CANCEL,	 /* withdraw it */
-	MSG_CREDIT,	 /* the caller took so many bytes of the answer */
-	/* Requests: dispatch to entry */
-	MSG_ANSWER,  /* status, header fields, first or only piece */
-	MSG_PIECE,   /* more of the answer's body */
-	MSG_REFUSAL, /* no answer, and why; also confirms a cancel */
+	/* Requests: entry to dispatcher */
+	MSG_REQUEST = 1, /* forwards a client request */
+	MSG_CANCEL,	 /* cancels a request */
+	MSG_CREDIT, /* flow control: bytes of the answer consumed by the caller */
+	/* Requests: dispatcher to entry */
+	MSG_ANSWER, /* status, header fields, first or only piece of the body */
+	MSG_PIECE,  /* a further piece of the answer's body */
+	MSG_REFUSAL, /* request failed without an answer; also confirms a cancel */
 	/* Shards: between dispatchers */
-	MSG_HANDOVER, /* what a leaving dispatcher knows of a shard */
-	/* Reachability: dispatch to the probe task of another domain */
+	MSG_HANDOVER, /* shard state transferred by a leaving dispatcher */
+	/* Reachability: to the probe task of another failure domain, and back */
 	MSG_PROBE_REQUEST,
 	MSG_PROBE_RESULT,
 	/* Configuration: between nodes */
-	MSG_CONFIG_REQUEST, /* send me your newest text */
-	MSG_CONFIG_TEXT,    /* the newest text I know */
+	MSG_CONFIG_REQUEST, /* requests the receiver's newest configuration */
+	MSG_CONFIG_TEXT,    /* the sender's newest configuration */
 	/* Leaving targets: from the pollers of the VM list to dispatchers */
 	MSG_TARGETS_LEAVING,
 	/* Directory of targets: between the feed tasks of nodes */
-	MSG_FEED_ENTRIES, /* entries that changed, or all of them */
-	MSG_FEED_REQUEST, /* send me all you have */
+	MSG_FEED_ENTRIES, /* changed entries, or a full snapshot */
+	MSG_FEED_REQUEST, /* requests a full snapshot */
 	MSG_REMOTE_COUNT,
 	/* Local only */
-	MSG_CONFIG = 64,   /* a new configuration is in force */
-	MSG_VIEW,	   /* membership has changed */
-	MSG_EJECT_REQUEST, /* dispatch asks for an ejection or a return */
-	MSG_RECORD,    /* the ejection record of a service is known or lapsed */
-	MSG_STOP,      /* planned stop: finish what is in flight */
-	MSG_STOPPED,   /* the task has nothing left in flight */
-	MSG_LINK_DOWN, /* the link to a node broke or fell silent */
-	MSG_CONFIG_HINT,    /* a member has a newer configuration */
-	MSG_CONTACTS,	    /* entry VMs of the platform's list */
-	MSG_FEED_HEARTBEAT, /* what a reader knows, and how fresh it is; between
-			  * nodes it goes with the load exchange */
+	MSG_CONFIG = 64,   /* a new configuration took effect */
+	MSG_VIEW,	   /* the membership view changed */
+	MSG_EJECT_REQUEST, /* dispatcher requests ejection or reinstatement */
+	MSG_RECORD, /* the ejection record of a service was updated or expired */
+	MSG_STOP,   /* planned shutdown: drain in-flight work */
+	MSG_STOPPED,	 /* the task has drained its in-flight work */
+	MSG_LINK_DOWN,	 /* the link to a node broke or timed out */
+	MSG_CONFIG_HINT, /* a member has a newer configuration */
+	MSG_CONTACTS,	 /* addresses of entry VMs in the platform's VM list */
+	MSG_FEED_HEARTBEAT, /* directory digest and freshness of a reader;
+			     * between nodes sent with the load exchange */
 };
 
 /** MSG_CONFIG_HINT. */
@@ -64,7 +64,7 @@
 	GArray *addresses; /* struct sockaddr_in */
 };
 
-/** Tasks that take messages. */
+/** Tasks that receive messages. */
 enum msg_task {
 	MSG_TASK_ENTRY = 1,
 	MSG_TASK_DISPATCH,
@@ -86,7 +86,7 @@
 	char *value;
 };
 
-/** How busy a shard is, as told with every message to an entry. */
+/** Load of a shard, reported with each answer and refusal to an entry. */
 struct msg_load {
 	uint32_t free_slots; /* of usable servers */
 	uint32_t waiting;    /* requests in the queue */
@@ -100,8 +100,8 @@
 	char *region;	/* of the shard */
 	uint32_t shard; /* index within service and region */
 	char *route;	/* name */
-	bool forced;	/* the owner could not be reached: take it anyway */
-	int64_t remaining_us; /* until the deadline, when sent */
+	bool forced; /* the shard owner is unreachable: accept as a non-owner */
+	int64_t remaining_us; /* time to the deadline at sending */
 	char *key;	      /* Idempotency-Key, or NULL */
 	char *method;
 	char *host;
@@ -127,13 +127,13 @@
 	uint32_t status;
 	enum fs_outcome outcome; /* FS_NOT_RUN for a target's refusal */
 	GArray *headers; /* struct msg_header, hop-by-hop ones removed */
-	int64_t length;	 /* of the whole body; -1: not known before;
-			  * to HEAD: of the body that is not sent */
+	int64_t length;	 /* of the complete body; -1: not known in advance;
+			  * for HEAD: of the body that is not sent */
 	GBytes *data;	 /* first piece; never NULL */
-	bool last;	 /* the first piece is the whole body */
+	bool last;	 /* the first piece is the complete body */
 	struct msg_load load;
 	char *server;	/* name of the target */
-	uint32_t tries; /* how many targets were tried */
+	uint32_t tries; /* number of attempts, one target each */
 };
 
 /** MSG_PIECE. */
@@ -141,7 +141,7 @@
 	struct req_id id;
 	uint64_t offset; /* of the first byte within the body */
 	GBytes *data;	 /* never NULL */
-	bool last;	 /* the body ends here, whole */
+	bool last;	 /* final piece of a complete body */
 };
 
 /** MSG_REFUSAL. */
@@ -149,16 +149,16 @@
 	struct req_id id;
 	int err;		 /* enum fs_err */
 	enum fs_outcome outcome; /* FS_NOT_RUN or FS_UNKNOWN */
-	int64_t retry_after_us;	 /* 0: no advice */
+	int64_t retry_after_us;	 /* 0: no Retry-After */
 	struct msg_load load;
 	uint32_t tries;
 };
 
-/** An idempotency key as a dispatcher remembers it. */
+/** State of an idempotency key at a dispatcher. */
 struct msg_key {
 	char *key;
 	bool in_flight;
-	int64_t age_us; /* since it was first seen */
+	int64_t age_us; /* since the key was first received */
 };
 
 /** MSG_HANDOVER. */
@@ -181,12 +181,12 @@
 	char *server;
 	bool reachable;
 	int64_t took_us;
-	bool draining; /* told by the target; local only */
+	bool draining; /* reported by the target; local only, not encoded */
 };
 
 /** MSG_CONFIG_REQUEST. */
 struct msg_config_request {
-	uint64_t known; /* version the sender has */
+	uint64_t known; /* configuration version of the sender */
 };
 
 /** MSG_CONFIG_TEXT. */
@@ -204,12 +204,12 @@
 struct msg_feed_heartbeat {
 	uint64_t digest;	 /* dir_digest() of the sender */
 	uint64_t config_version; /* 0: none */
-	bool fresh;		 /* the store answered it a moment ago */
-	bool local;		 /* of this failure domain */
-	node_id reader;		 /* whose it is */
+	bool fresh;		 /* the reader has read the store recently */
+	bool local;		 /* the reader is in this failure domain */
+	node_id reader;		 /* node that reads the store */
 };
 
-/** A target that was removed. */
+/** A target removed from the directory. */
 struct msg_removed {
 	char id[FS_NAME_MAX];
 	uint64_t rev;
@@ -217,9 +217,10 @@
 
 /** MSG_FEED_ENTRIES. */
 struct msg_feed_entries {
-	uint64_t snapshot_rev; /* these are all entries of that revision; 0: only
-			     * changes, or not known to be all */
-	GArray *entries;       /* struct dir_entry; cold_us from now on */
+	uint64_t snapshot_rev; /* entries are a full snapshot of this
+				* revision; 0: changes only, or not
+				* known to be complete */
+	GArray *entries;       /* struct dir_entry; cold_us relative to now */
 	GArray *removed;       /* struct msg_removed */
 };
 
@@ -237,8 +238,8 @@
 struct msg_eject_request {
 	char *service;
 	char *server;
-	char *rule;	/* name of the rule that judged the server */
-	bool reinstate; /* true: return it, false: eject it */
+	char *rule; /* name of the detection rule that triggered the request */
+	bool reinstate; /* true: reinstate the server, false: eject it */
 };
 
 struct flr_record;
@@ -246,8 +247,8 @@
 /** MSG_RECORD. */
 struct msg_record {
 	char *service;
-	struct flr_record *record; /* owned by the message; NULL: lapsed */
-	int64_t confirmed_us;	   /* when the platform was last read */
+	struct flr_record *record; /* owned by the message; NULL: expired */
+	int64_t confirmed_us;	   /* time of the last read from the platform */
 };
 
 /** MSG_LINK_DOWN. */
@@ -257,15 +258,15 @@
 
 /** MSG_STOPPED. */
 struct msg_stopped {
-	enum msg_task task; /* that has nothing left in flight */
+	enum msg_task task; /* the task that has drained its in-flight work */
 };
 
 /** One message. */
 struct msg {
 	enum msg_type type;
 	node_id from;	    /* set by the bus */
-	node_id to;	    /* the node itself, or a peer */
-	enum msg_task task; /* receiver at that node */
+	node_id to;	    /* this node or a peer */
+	enum msg_task task; /* receiving task at that node */
 	union {
 		struct msg_request request;
 		struct msg_cancel cancel;
@@ -292,23 +293,25 @@
 	};
 };
 
-/** Makes an empty message; its members are zero. */
+/** Creates a message with its members zeroed; the arrays of MSG_HANDOVER and
+ * MSG_FEED_ENTRIES are created empty. */
 struct msg *msg_new(enum msg_type type, node_id to, enum msg_task task);
 
-/** Frees a message with all that it holds. NULL is allowed. */
+/** Frees a message and its members. NULL is allowed. */
 void msg_free(struct msg *m);
 
-/** Makes an empty array of struct msg_header that frees its elements. */
+/** Creates an empty array of struct msg_header that frees its elements. */
 GArray *msg_headers_new(void);
 
 /** Appends a copy of a header field. */
 void msg_headers_add(GArray *headers, const char *name, const char *value);
 
-/** Returns the value of the first field @p name, any case, or NULL. */
+/** Returns the value of the first header field @p name (case-insensitive), or
+ * NULL. */
 const char *msg_headers_get(const GArray *headers, const char *name);
 
 /**
- * Encodes a remote message with msgpack, without a frame.
+ * Encodes a remote message with msgpack, without frame header.
  * @param out  bytes are appended
  * @return 0, or FS_E_INVALID for a local type
  */
@@ -317,7 +320,7 @@
 /**
  * Decodes one payload.
  * @param out  out: the message, NULL on error
- * @return 0, or FS_E_PROTOCOL for anything malformed
+ * @return 0, or FS_E_PROTOCOL if the payload is malformed
  */
 int msg_decode(const uint8_t *data, size_t size, struct msg **out);
 
--- a/src/msg_codec.c
+++ b/src/msg_codec.c
@@ -24,7 +24,7 @@
 	return 0;
 }
 
-/* Reads the head, then the members of the type it names. */
+/* Reads the message header (type and task), then the members of that type. */
 static struct msg *read_message(const msgpack_object *root)
 {
 	const msgpack_object *head = root->via.array.ptr;
--- a/src/msg_codec_get.c
+++ b/src/msg_codec_get.c
@@ -50,14 +50,14 @@
 	return object && object->via.boolean;
 }
 
-/* Text with a NUL inside would be cut short, so it is refused. */
+/* Rejects a string with an embedded NUL, which a C string would truncate. */
 char *msg_get_text(struct msg_reader *r)
 {
 	const msgpack_object *object = next_object(r, MSGPACK_OBJECT_STR);
 
 	if (!object)
 		return NULL;
-	/* msgpack-c gives an empty text no address. */
+	/* msgpack-c sets no pointer for an empty string. */
 	if (!object->via.str.size)
 		return g_strdup("");
 	if (memchr(object->via.str.ptr, '\0', object->via.str.size)) {
@@ -85,7 +85,6 @@
 	return g_bytes_new(object->via.bin.ptr, object->via.bin.size);
 }
 
-/* Enters an array whose count is a multiple of @p step. */
 struct msg_reader msg_get_array(struct msg_reader *r, uint32_t step)
 {
 	const msgpack_object *object = next_object(r, MSGPACK_OBJECT_ARRAY);
@@ -103,7 +102,6 @@
 	return inner;
 }
 
-/* Leaves an array: whatever was wrong inside is wrong outside. */
 void msg_end_array(struct msg_reader *r, const struct msg_reader *inner)
 {
 	if (inner->malformed || inner->left)
--- a/src/msg_codec_in.c
+++ b/src/msg_codec_in.c
@@ -57,7 +57,7 @@
 	m->piece.last = msg_get_bool(r);
 }
 
-/* A refusal names an error, and is never an answer. */
+/* Rejects a refusal without a known error code or with outcome FS_ANSWERED. */
 static void read_refusal(struct msg_reader *r, struct msg *m)
 {
 	struct msg_refusal *refusal = &m->refusal;
@@ -134,7 +134,8 @@
 	msg_end_array(r, &inner);
 }
 
-/* A text that does not fit its field makes the message malformed. */
+/* Reads a string into a fixed buffer; one that is too long makes the message
+ * malformed. */
 static void read_fixed_text(struct msg_reader *r, char *out, size_t size)
 {
 	g_autofree char *text = msg_get_text(r);
--- a/src/msg_codec_out.c
+++ b/src/msg_codec_out.c
@@ -157,13 +157,13 @@
 	(void)m;
 }
 
-/** Writer of one type. */
-struct writer_row {
+/** Writer of one message type and its member count. */
+struct type_writer {
 	uint32_t members;
 	msg_write_fn write;
 };
 
-static const struct writer_row rows[MSG_REMOTE_COUNT] = {
+static const struct type_writer writers[MSG_REMOTE_COUNT] = {
 	[MSG_REQUEST] = {14, write_request},
 	[MSG_CANCEL] = {1, write_cancel},
 	[MSG_CREDIT] = {2, write_credit},
@@ -184,6 +184,6 @@
 {
 	if (type >= MSG_REMOTE_COUNT)
 		return NULL;
-	*members = rows[type].members;
-	return rows[type].write;
+	*members = writers[type].members;
+	return writers[type].write;
 }
--- a/src/msg_codec_scan.c
+++ b/src/msg_codec_scan.c
@@ -1,6 +1,6 @@
 #include "msg_codec.h"
 
-/** Where a scan is. */
+/** Input and read position of a scan. */
 struct scan {
 	const uint8_t *data;
 	size_t size;
@@ -46,7 +46,8 @@
 	return true;
 }
 
-/* Numbers of a fixed width: floats, then unsigned and signed integers. */
+/* Skips a fixed-width number: tags 0xca to 0xd3 are floats, unsigned integers,
+ * then signed integers. */
 static bool scan_fixed(struct scan *s, uint8_t tag)
 {
 	static const uint8_t widths[] = {4, 8, 1, 2, 4, 8, 1, 2, 4, 8};
@@ -54,7 +55,7 @@
 	return scan_skip(s, widths[tag - 0xca]);
 }
 
-/* Maps and extension types have no place in a payload. */
+/* Payloads use no maps or extension types, so these are rejected. */
 static bool scan_object(struct scan *s, int depth)
 {
 	uint64_t count;
--- a/tests/prop_msg.cpp
+++ b/tests/prop_msg.cpp
@@ -1,4 +1,4 @@
-// Properties of the codec, the frames and the signatures of links.
+// Property tests of the message codec, the framing and the link signatures.
 #include <rapidcheck.h>
 
 #include <string>
@@ -8,7 +8,7 @@
 #include <netinet/in.h>
 
 extern "C" {
-// A member of mem.h is called by a word that C++ reserves.
+// mem.h has a member named operator, which is a keyword in C++.
 #define operator operator_address
 #include "frm.h"
 #include "msg.h"
@@ -19,7 +19,7 @@
 namespace
 {
 
-std::string text(size_t max)
+std::string random_text(size_t max)
 {
 	auto bytes = *rc::gen::container<std::string>(
 		rc::gen::inRange<char>(1, 127));
@@ -27,7 +27,7 @@
 	return bytes.substr(0, max);
 }
 
-GBytes *blob()
+GBytes *random_bytes()
 {
 	auto bytes = *rc::gen::arbitrary<std::vector<uint8_t>>();
 
@@ -41,13 +41,14 @@
 	id.counter = *rc::gen::arbitrary<uint64_t>();
 }
 
-GArray *headers()
+GArray *random_headers()
 {
 	GArray *out = msg_headers_new();
 	int n = *rc::gen::inRange(0, 5);
 
 	while (n--)
-		msg_headers_add(out, text(20).c_str(), text(40).c_str());
+		msg_headers_add(out, random_text(20).c_str(),
+				random_text(40).c_str());
 	return out;
 }
 
@@ -59,27 +60,27 @@
 	switch (type) {
 	case MSG_REQUEST:
 		fill_id(m->request.id);
-		m->request.service = g_strdup(text(30).c_str());
+		m->request.service = g_strdup(random_text(30).c_str());
 		m->request.key = *rc::gen::arbitrary<bool>() ?
-					 g_strdup(text(30).c_str()) :
+					 g_strdup(random_text(30).c_str()) :
 					 nullptr;
 		m->request.remaining_us = *rc::gen::arbitrary<int64_t>();
 		m->request.forced = *rc::gen::arbitrary<bool>();
-		m->request.headers = headers();
-		m->request.body = blob();
+		m->request.headers = random_headers();
+		m->request.body = random_bytes();
 		break;
 	case MSG_ANSWER:
 		fill_id(m->answer.id);
 		m->answer.status = *rc::gen::arbitrary<uint32_t>();
 		m->answer.length = *rc::gen::inRange<int64_t>(-1, INT64_MAX);
-		m->answer.headers = headers();
-		m->answer.data = blob();
+		m->answer.headers = random_headers();
+		m->answer.data = random_bytes();
 		m->answer.last = *rc::gen::arbitrary<bool>();
 		break;
 	case MSG_PIECE:
 		fill_id(m->piece.id);
 		m->piece.offset = *rc::gen::inRange<uint64_t>(0, INT64_MAX);
-		m->piece.data = blob();
+		m->piece.data = random_bytes();
 		break;
 	case MSG_REFUSAL:
 		fill_id(m->refusal.id);
@@ -87,7 +88,8 @@
 		m->refusal.outcome = *rc::gen::element(FS_NOT_RUN, FS_UNKNOWN);
 		break;
 	case MSG_HANDOVER: {
-		struct msg_key key = {g_strdup(text(9).c_str()), true, -5};
+		struct msg_key key = {g_strdup(random_text(9).c_str()), true,
+				      -5};
 
 		g_array_append_val(m->handover.keys, key);
 		break;
@@ -96,9 +98,9 @@
 		m->targets_leaving.servers =
 			g_ptr_array_new_with_free_func(g_free);
 		g_ptr_array_add(m->targets_leaving.servers,
-				g_strdup(text(9).c_str()));
+				g_strdup(random_text(9).c_str()));
 		break;
-	default: // the others have members of these kinds only
+	default: // the other types have only kinds of members covered above
 		break;
 	}
 	return m;
@@ -119,46 +121,47 @@
 	return msg_decode((const uint8_t *)bytes.data(), bytes.size(), m);
 }
 
-// Decoding gives a message that encodes to the same bytes.
+// A decoded message encodes to the same bytes.
 void round_trip()
 {
 	struct msg *m = random_message();
 	std::string bytes = encode(m);
-	struct msg *back;
+	struct msg *decoded;
 
-	RC_ASSERT(decode(bytes, &back) == 0);
-	RC_ASSERT(back->type == m->type);
+	RC_ASSERT(decode(bytes, &decoded) == 0);
+	RC_ASSERT(decoded->type == m->type);
 	if (m->type == MSG_REQUEST) {
-		RC_ASSERT(g_strcmp0(back->request.key, m->request.key) == 0);
-		RC_ASSERT(g_bytes_equal(back->request.body, m->request.body));
-		RC_ASSERT(req_id_equal(&back->request.id, &m->request.id));
-		RC_ASSERT(back->request.remaining_us ==
+		RC_ASSERT(g_strcmp0(decoded->request.key, m->request.key) == 0);
+		RC_ASSERT(
+			g_bytes_equal(decoded->request.body, m->request.body));
+		RC_ASSERT(req_id_equal(&decoded->request.id, &m->request.id));
+		RC_ASSERT(decoded->request.remaining_us ==
 			  m->request.remaining_us);
 	}
-	RC_ASSERT(encode(back) == bytes);
+	RC_ASSERT(encode(decoded) == bytes);
 	msg_free(m);
-	msg_free(back);
+	msg_free(decoded);
 }
 
-// Cut, changed or lengthened payloads are refused or decode to a message that
-// can be encoded; nothing else happens.
-void mutated()
+// Truncated and extended payloads are rejected. Corrupted payloads are rejected
+// or decode to a message that can be encoded, without a crash.
+void mutated_payloads()
 {
 	struct msg *m = random_message();
 	std::string bytes = encode(m);
-	struct msg *back;
+	struct msg *decoded;
 
 	msg_free(m);
-	std::string cut =
+	std::string truncated =
 		bytes.substr(0, *rc::gen::inRange<size_t>(0, bytes.size()));
-	RC_ASSERT(decode(cut, &back) == FS_E_PROTOCOL && !back);
-	RC_ASSERT(decode(bytes + "\x01", &back) == FS_E_PROTOCOL);
+	RC_ASSERT(decode(truncated, &decoded) == FS_E_PROTOCOL && !decoded);
+	RC_ASSERT(decode(bytes + "\x01", &decoded) == FS_E_PROTOCOL);
 	for (int i = *rc::gen::inRange(1, 6); i > 0; i--)
 		bytes[*rc::gen::inRange<size_t>(0, bytes.size())] =
 			(char)*rc::gen::arbitrary<uint8_t>();
-	if (decode(bytes, &back) == 0)
-		encode(back);
-	msg_free(back);
+	if (decode(bytes, &decoded) == 0)
+		encode(decoded);
+	msg_free(decoded);
 }
 
 void arbitrary_bytes()
@@ -171,7 +174,7 @@
 	msg_free(m);
 }
 
-// Payloads come out whole and in order however the stream is cut.
+// The reader returns complete payloads in order for any split of the stream.
 void frames()
 {
 	auto payloads = *rc::gen::container<std::vector<std::string>>(
@@ -206,7 +209,7 @@
 	g_byte_array_unref(out);
 }
 
-void bad_lengths()
+void invalid_lengths()
 {
 	uint32_t length = *rc::gen::element<uint32_t>(0, FS_FRAME_MAX + 1,
 						      UINT32_MAX, 0x80000000U);
@@ -240,13 +243,23 @@
 
 int main()
 {
-	bool ok = rc::check("a message survives encoding", round_trip);
+	bool ok = rc::check("a message round-trips through the codec",
+			    round_trip);
 
-	ok = rc::check("mutated payloads are refused or whole", mutated) && ok;
-	ok = rc::check("arbitrary bytes do no harm", arbitrary_bytes) && ok;
-	ok = rc::check("frames survive any cut of the stream", frames) && ok;
-	ok = rc::check("lengths out of bounds end the stream", bad_lengths) &&
+	ok = rc::check("mutated payloads are rejected or stay encodable",
+		       mutated_payloads) &&
+	     ok;
+	ok = rc::check("arbitrary bytes are rejected or stay encodable",
+		       arbitrary_bytes) &&
+	     ok;
+	ok = rc::check("frames are reassembled for any split of the stream",
+		       frames) &&
+	     ok;
+	ok = rc::check("a frame length out of bounds is a lasting error",
+		       invalid_lengths) &&
+	     ok;
+	ok = rc::check("a signature verifies only with its key and data",
+		       signatures) &&
 	     ok;
-	ok = rc::check("codes fit their key and data", signatures) && ok;
 	return ok ? 0 : 1;
 }
