--- a/src/msg.h
+++ b/src/msg.h
@@ -149,7 +149,7 @@
 	struct req_id id;
 	int err;		 /* enum fs_err */
 	enum fs_outcome outcome; /* FS_NOT_RUN or FS_UNKNOWN */
-	int64_t retry_after_us;	 /* 0: no Retry-After */
+	int64_t retry_after_us;	 /* 0: no estimate */
 	struct msg_load load;
 	uint32_t tries;
 };
@@ -204,7 +204,7 @@
 struct msg_feed_heartbeat {
 	uint64_t digest;	 /* dir_digest() of the sender */
 	uint64_t config_version; /* 0: none */
-	bool fresh;		 /* the reader has read the store recently */
+	bool fresh;		 /* the store has answered recently */
 	bool local;		 /* the reader is in this failure domain */
 	node_id reader;		 /* node that reads the store */
 };
@@ -220,8 +220,8 @@
 	uint64_t snapshot_rev; /* entries are a full snapshot of this
 				* revision; 0: changes only, or not
 				* known to be complete */
-	GArray *entries;       /* struct dir_entry; cold_us relative to now */
-	GArray *removed;       /* struct msg_removed */
+	GArray *entries; /* struct dir_entry; cold_us: remaining warm-up */
+	GArray *removed; /* struct msg_removed */
 };
 
 /** MSG_CONFIG. */
--- a/src/msg_codec.h
+++ b/src/msg_codec.h
@@ -49,8 +49,9 @@
 void msg_put_load(struct msg_writer *w, const struct msg_load *load);
 void msg_put_headers(struct msg_writer *w, const GArray *headers);
 
-/* Decoders. The caller owns the results; they are zero or NULL if the member
- * could not be read. */
+/* Decoders. The caller owns the results. If the member has another type, or the
+ * reader is malformed already, they are zero or NULL; msg_get_headers() returns
+ * an array in any case. */
 uint64_t msg_get_u64(struct msg_reader *r, uint64_t max);
 uint32_t msg_get_u32(struct msg_reader *r);
 int64_t msg_get_i64(struct msg_reader *r);
