--- a/src/cnf.c
+++ b/src/cnf.c
@@ -178,7 +178,7 @@
 {
 	if (!cnf)
 		return;
-	plt_forget(cnf->node->platform, cnf);
+	plt_cancel(cnf->node->platform, cnf);
 	ev_timer_stop(cnf->node->loop, &cnf->tick);
 	cnf_store_clear(&cnf->store);
 	mem_view_unref(cnf->view);
--- a/src/ejc_service.c
+++ b/src/ejc_service.c
@@ -27,7 +27,7 @@
 {
 	struct ejc_service *service = data;
 
-	plt_forget(service->ejc->node->platform, service);
+	plt_cancel(service->ejc->node->platform, service);
 	flr_sync_free(service->sync);
 	g_hash_table_unref(service->servers);
 	g_free(service->key);
--- a/src/lnk.c
+++ b/src/lnk.c
@@ -16,7 +16,7 @@
 
 		unproven += in->state != LNK_UP;
 	}
-	return lnk->in->len < LNK_IN_MAX && unproven < LNK_UNPROVEN_MAX;
+	return lnk->in->len < LNK_IN_MAX && unproven < LNK_HANDSHAKES_MAX;
 }
 
 static void on_accept(struct ev_loop *loop, ev_io *io, int events)
@@ -34,7 +34,7 @@
 			lnk_in_new(lnk, fd, &address, fs_now_us());
 			continue;
 		}
-		lnk_tell_end(lnk, "in", 0, &address, "too_many");
+		lnk_log_end(lnk, "in", 0, &address, "too_many");
 		close(fd);
 	}
 }
@@ -114,8 +114,8 @@
 	}
 	ctr_count(lnk->node->ctr, "lnk_no_address", 1);
 	if (m->type == MSG_REQUEST)
-		lnk_tell_not_run(lnk, m->to, &m->request.id);
-	lnk_tell_down(lnk, m->to);
+		lnk_refuse_not_run(lnk, m->to, &m->request.id);
+	lnk_notify_down(lnk, m->to);
 	msg_free(m);
 }
 
--- a/src/lnk.h
+++ b/src/lnk.h
@@ -18,7 +18,7 @@
  * the request it withdraws.
  *
  * Limits: FS_LINK_QUEUE_MAX bytes waiting per link, LNK_IN_MAX accepted
- * connections, of which LNK_UNPROVEN_MAX before the end of their handshake.
+ * connections, of which LNK_HANDSHAKES_MAX before the end of their handshake.
  */
 #ifndef LNK_H
 #define LNK_H
@@ -27,11 +27,11 @@
 #include "lnk_hello.h"
 #include "node.h"
 
-#define LNK_IN_MAX (2 * FS_NODES_MAX)	     /* accepted connections */
-#define LNK_UNPROVEN_MAX 128		     /* of them in their handshake */
-#define LNK_IDLE_US (60 * FS_US_PER_S)	     /* unused links are closed */
-#define LNK_HANDSHAKE_US FS_US_PER_S	     /* connect and handshake */
-#define LNK_READ_MAX (4 * FS_LINK_QUEUE_MAX) /* bytes read in one turn */
+#define LNK_IN_MAX (2 * FS_NODES_MAX)	       /* accepted connections */
+#define LNK_HANDSHAKES_MAX 128		       /* of them in their handshake */
+#define LNK_IDLE_TIMEOUT_US (60 * FS_US_PER_S) /* unused links are closed */
+#define LNK_HANDSHAKE_TIMEOUT_US FS_US_PER_S   /* connect and handshake */
+#define LNK_READ_TURN_MAX (4 * FS_LINK_QUEUE_MAX) /* bytes read in one turn */
 
 /** A frame that waits to be written. */
 struct lnk_frame {
@@ -144,13 +144,13 @@
 /* Shared parts (lnk_tell.c). */
 
 /** Tells the entry task that a request was never written. */
-void lnk_tell_not_run(struct lnk *lnk, node_id peer, const struct req_id *id);
+void lnk_refuse_not_run(struct lnk *lnk, node_id peer, const struct req_id *id);
 
 /** Tells all tasks that the link to @p peer is down. */
-void lnk_tell_down(struct lnk *lnk, node_id peer);
+void lnk_notify_down(struct lnk *lnk, node_id peer);
 
 /** Logs and counts the end of a connection. */
-void lnk_tell_end(struct lnk *lnk, const char *side, node_id peer,
-		  const struct sockaddr_in *address, const char *reason);
+void lnk_log_end(struct lnk *lnk, const char *side, node_id peer,
+		 const struct sockaddr_in *address, const char *reason);
 
 #endif
--- a/src/lnk_hello.c
+++ b/src/lnk_hello.c
@@ -27,7 +27,7 @@
 	msgpack_pack_bin_body(&w->packer, data, size);
 }
 
-void lnk_nonce(uint8_t nonce[LNK_NONCE_SIZE])
+void lnk_nonce_fill(uint8_t nonce[LNK_NONCE_SIZE])
 {
 	if (getrandom(nonce, LNK_NONCE_SIZE, 0) != LNK_NONCE_SIZE)
 		g_error("the system gives no random numbers");
@@ -171,20 +171,20 @@
 	return bytes;
 }
 
-int lnk_code(const char *key, enum lnk_side side, const struct lnk_hello *hello,
-	     const struct lnk_challenge *challenge, uint8_t out[SIG_SIZE])
+int lnk_mac(const char *key, enum lnk_side side, const struct lnk_hello *hello,
+	    const struct lnk_challenge *challenge, uint8_t out[SIG_SIZE])
 {
 	g_autoptr(GByteArray) bytes = signed_bytes(side, hello, challenge);
 
 	return sig_sign(key, bytes->data, bytes->len, out);
 }
 
-bool lnk_code_check(const char *key, enum lnk_side side,
+bool lnk_mac_verify(const char *key, enum lnk_side side,
 		    const struct lnk_hello *hello,
 		    const struct lnk_challenge *challenge,
 		    const uint8_t code[SIG_SIZE])
 {
 	g_autoptr(GByteArray) bytes = signed_bytes(side, hello, challenge);
 
-	return sig_check(key, bytes->data, bytes->len, code);
+	return sig_verify(key, bytes->data, bytes->len, code);
 }
--- a/src/lnk_hello.h
+++ b/src/lnk_hello.h
@@ -49,7 +49,7 @@
 };
 
 /** Fills in a fresh nonce. */
-void lnk_nonce(uint8_t nonce[LNK_NONCE_SIZE]);
+void lnk_nonce_fill(uint8_t nonce[LNK_NONCE_SIZE]);
 
 /** Appends one payload, its kind first, without a frame. */
 void lnk_hello_write(const struct lnk_hello *hello, GByteArray *out);
@@ -70,11 +70,11 @@
 };
 
 /** Computes the code of one end. @return 0 or FS_E_INVALID */
-int lnk_code(const char *key, enum lnk_side side, const struct lnk_hello *hello,
-	     const struct lnk_challenge *challenge, uint8_t out[SIG_SIZE]);
+int lnk_mac(const char *key, enum lnk_side side, const struct lnk_hello *hello,
+	    const struct lnk_challenge *challenge, uint8_t out[SIG_SIZE]);
 
 /** Returns whether a code is that of the given end. */
-bool lnk_code_check(const char *key, enum lnk_side side,
+bool lnk_mac_verify(const char *key, enum lnk_side side,
 		    const struct lnk_hello *hello,
 		    const struct lnk_challenge *challenge,
 		    const uint8_t code[SIG_SIZE]);
--- a/src/lnk_in.c
+++ b/src/lnk_in.c
@@ -12,7 +12,7 @@
 
 static void end(struct lnk_in *in, const char *reason)
 {
-	lnk_tell_end(in->lnk, "in", in->peer, &in->address, reason);
+	lnk_log_end(in->lnk, "in", in->peer, &in->address, reason);
 	g_ptr_array_remove_fast(in->lnk->in, in);
 	lnk_in_free(in);
 }
@@ -77,9 +77,9 @@
 		return "wrong_address";
 	g_strlcpy(in->challenge.name, node->set.name, FS_NAME_MAX);
 	in->challenge.incarnation = node->incarnation;
-	lnk_nonce(in->challenge.nonce);
-	if (lnk_code(node->set.fleet_key, LNK_ACCEPTOR, &in->hello,
-		     &in->challenge, in->challenge.code))
+	lnk_nonce_fill(in->challenge.nonce);
+	if (lnk_mac(node->set.fleet_key, LNK_ACCEPTOR, &in->hello,
+		    &in->challenge, in->challenge.code))
 		return "no_key";
 	start = frm_begin(in->output);
 	lnk_challenge_write(&in->challenge, in->output);
@@ -133,7 +133,7 @@
 
 	if (in->state != LNK_HANDSHAKE || lnk_proof_read(data, size, code))
 		return "protocol";
-	if (!lnk_code_check(key, LNK_OPENER, &in->hello, &in->challenge, code))
+	if (!lnk_mac_verify(key, LNK_OPENER, &in->hello, &in->challenge, code))
 		return "peer_not_proven";
 	in->peer = fs_node_id(in->hello.name);
 	if (!is_newest(in))
@@ -212,7 +212,7 @@
 	const char *reason = NULL;
 	size_t total = 0;
 
-	while (!reason && total < LNK_READ_MAX) {
+	while (!reason && total < LNK_READ_TURN_MAX) {
 		ssize_t got = recv(in->fd, buffer, READ_SIZE, MSG_DONTWAIT);
 
 		if (got < 0 && errno == EINTR)
--- a/src/lnk_out.c
+++ b/src/lnk_out.c
@@ -182,10 +182,10 @@
 	    lnk_challenge_read(data, size, &challenge))
 		return "protocol";
 	if (fs_node_id(challenge.name) != out->peer ||
-	    !lnk_code_check(key, LNK_ACCEPTOR, &out->hello, &challenge,
+	    !lnk_mac_verify(key, LNK_ACCEPTOR, &out->hello, &challenge,
 			    challenge.code))
 		return "peer_not_proven";
-	if (lnk_code(key, LNK_OPENER, &out->hello, &challenge, code))
+	if (lnk_mac(key, LNK_OPENER, &out->hello, &challenge, code))
 		return "no_key";
 	payload = g_byte_array_new();
 	lnk_proof_write(code, payload);
@@ -285,7 +285,7 @@
 	out->hello.incarnation = lnk->node->incarnation;
 	out->hello.serial = ++lnk->serial;
 	out->hello.to = member->id;
-	lnk_nonce(out->hello.nonce);
+	lnk_nonce_fill(out->hello.nonce);
 	frm_reader_init(&out->reader);
 	g_queue_init(&out->frames);
 	out->opened_us = out->last_rx_us = out->used_us = now_us;
@@ -336,7 +336,7 @@
 	out->queued -= frame->bytes->len;
 	g_queue_delete_link(&out->frames, l);
 	frame_free(frame);
-	lnk_tell_not_run(out->lnk, out->peer, id);
+	lnk_refuse_not_run(out->lnk, out->peer, id);
 	return true;
 }
 
@@ -356,7 +356,7 @@
 		queue(out, frame);
 		out->used_us = now_us;
 	} else if (m->type == MSG_REQUEST) {
-		lnk_tell_not_run(lnk, out->peer, &m->request.id);
+		lnk_refuse_not_run(lnk, out->peer, &m->request.id);
 	} else if (frame) {
 		lnk_out_break(out, "queue_full");
 	} else {
@@ -370,7 +370,7 @@
 void lnk_out_tick(struct lnk_out *out, int64_t now_us)
 {
 	if (out->state != LNK_UP) {
-		if (now_us - out->opened_us > LNK_HANDSHAKE_US)
+		if (now_us - out->opened_us > LNK_HANDSHAKE_TIMEOUT_US)
 			lnk_out_break(out, "handshake_timeout");
 		return;
 	}
@@ -378,7 +378,7 @@
 		lnk_out_break(out, "silent");
 		return;
 	}
-	if (now_us - out->used_us > LNK_IDLE_US &&
+	if (now_us - out->used_us > LNK_IDLE_TIMEOUT_US &&
 	    g_queue_is_empty(&out->frames)) {
 		queue_kind(out, LNK_BYE);
 		if (!lnk_out_flush(out))
@@ -398,7 +398,7 @@
 		const struct lnk_frame *frame = l->data;
 
 		if (frame->request)
-			lnk_tell_not_run(out->lnk, out->peer, &frame->id);
+			lnk_refuse_not_run(out->lnk, out->peer, &frame->id);
 	}
 }
 
@@ -411,9 +411,9 @@
 	getpeername(out->fd, (struct sockaddr *)&address, &size);
 	/* A reset drops what the kernel has not sent yet. */
 	setsockopt(out->fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
-	lnk_tell_end(out->lnk, "out", out->peer, &address, reason);
+	lnk_log_end(out->lnk, "out", out->peer, &address, reason);
 	give_back(out);
-	lnk_tell_down(out->lnk, out->peer);
+	lnk_notify_down(out->lnk, out->peer);
 	g_hash_table_remove(out->lnk->out, &out->peer);
 	lnk_out_free(out);
 }
--- a/src/lnk_tell.c
+++ b/src/lnk_tell.c
@@ -1,7 +1,7 @@
 #include "fs_log.h"
 #include "lnk.h"
 
-void lnk_tell_not_run(struct lnk *lnk, node_id peer, const struct req_id *id)
+void lnk_refuse_not_run(struct lnk *lnk, node_id peer, const struct req_id *id)
 {
 	struct msg *m = msg_new(MSG_REFUSAL, lnk->node->self, MSG_TASK_ENTRY);
 
@@ -13,7 +13,7 @@
 	bus_deliver(lnk->node->bus, m);
 }
 
-void lnk_tell_down(struct lnk *lnk, node_id peer)
+void lnk_notify_down(struct lnk *lnk, node_id peer)
 {
 	for (int task = 1; task < MSG_TASK_COUNT; task++) {
 		struct msg *m = msg_new(MSG_LINK_DOWN, lnk->node->self,
@@ -24,8 +24,8 @@
 	}
 }
 
-void lnk_tell_end(struct lnk *lnk, const char *side, node_id peer,
-		  const struct sockaddr_in *address, const char *reason)
+void lnk_log_end(struct lnk *lnk, const char *side, node_id peer,
+		 const struct sockaddr_in *address, const char *reason)
 {
 	g_autofree char *name =
 		g_strdup_printf("lnk_ends{side=%s,reason=%s}", side, reason);
--- a/src/lod_wire.c
+++ b/src/lod_wire.c
@@ -226,7 +226,7 @@
 
 	lod_packet_init(packet, LOD_REPORT);
 	if (size <= SIG_SIZE || size > FS_DATAGRAM_MAX ||
-	    !sig_check(key, data, size - SIG_SIZE, data + size - SIG_SIZE))
+	    !sig_verify(key, data, size - SIG_SIZE, data + size - SIG_SIZE))
 		return FS_E_PROTOCOL;
 	msgpack_unpacked_init(&unpacked);
 	if (msgpack_unpack_next(&unpacked, (const char *)data, size - SIG_SIZE,
--- a/src/mem.c
+++ b/src/mem.c
@@ -78,8 +78,8 @@
 	ctr_add(mem->node->ctr, mem->received, 1);
 	ctr_add(mem->node->ctr, mem->received_bytes, size);
 	if (size <= SIG_SIZE ||
-	    !sig_check(mem->node->set.fleet_key, data, size - SIG_SIZE,
-		       data + size - SIG_SIZE) ||
+	    !sig_verify(mem->node->set.fleet_key, data, size - SIG_SIZE,
+			data + size - SIG_SIZE) ||
 	    mem_core_receive(mem->core, data, size - SIG_SIZE, now_us))
 		ctr_add(mem->node->ctr, mem->refused, 1);
 }
--- a/src/plt.c
+++ b/src/plt.c
@@ -78,7 +78,7 @@
 	g_free(plt);
 }
 
-void plt_forget(struct plt *plt, void *arg)
+void plt_cancel(struct plt *plt, void *arg)
 {
 	g_autoptr(GList) calls = g_hash_table_get_keys(plt->calls);
 
@@ -90,7 +90,7 @@
 	}
 }
 
-uint64_t plt_calls(const struct plt *plt)
+uint64_t plt_call_count(const struct plt *plt)
 {
 	return plt->count;
 }
--- a/src/plt.h
+++ b/src/plt.h
@@ -71,9 +71,9 @@
 void plt_vms(struct plt *plt, plt_vms_fn done, void *arg);
 
 /** Drops all calls whose functions have the argument @p arg. */
-void plt_forget(struct plt *plt, void *arg);
+void plt_cancel(struct plt *plt, void *arg);
 
 /** Returns how many calls were made since the start. */
-uint64_t plt_calls(const struct plt *plt);
+uint64_t plt_call_count(const struct plt *plt);
 
 #endif
--- a/src/sig.c
+++ b/src/sig.c
@@ -23,8 +23,8 @@
 	return 0;
 }
 
-bool sig_check(const char *key, const void *data, size_t size,
-	       const uint8_t code[SIG_SIZE])
+bool sig_verify(const char *key, const void *data, size_t size,
+		const uint8_t code[SIG_SIZE])
 {
 	uint8_t expected[SIG_SIZE];
 	uint8_t difference = 0;
--- a/src/sig.h
+++ b/src/sig.h
@@ -24,7 +24,7 @@
 	     uint8_t out[SIG_SIZE]);
 
 /** Returns whether @p code is that of @p data, in constant time. */
-bool sig_check(const char *key, const void *data, size_t size,
-	       const uint8_t code[SIG_SIZE]);
+bool sig_verify(const char *key, const void *data, size_t size,
+		const uint8_t code[SIG_SIZE]);
 
 #endif
--- a/tests/fleet_lnk.c
+++ b/tests/fleet_lnk.c
@@ -190,7 +190,7 @@
 	raw->hello.incarnation = incarnation;
 	raw->hello.serial = serial;
 	raw->hello.to = p->node.self;
-	lnk_nonce(raw->hello.nonce);
+	lnk_nonce_fill(raw->hello.nonce);
 	lnk_hello_write(&raw->hello, payload);
 	send_payload(raw, payload);
 }
@@ -205,7 +205,7 @@
 	g_assert_cmpint(data[0], ==, LNK_CHALLENGE);
 	g_assert_cmpint(lnk_challenge_read(data + 1, size - 1, &raw->challenge),
 			==, 0);
-	lnk_code(key, LNK_OPENER, &raw->hello, &raw->challenge, code);
+	lnk_mac(key, LNK_OPENER, &raw->hello, &raw->challenge, code);
 	lnk_proof_write(code, payload);
 	send_payload(raw, payload);
 	pair_run(loop, 20000);
@@ -239,9 +239,9 @@
 	g_assert_cmpint(data[0], ==, LNK_HELLO);
 	g_assert_cmpint(lnk_hello_read(data + 1, size - 1, &raw->hello), ==, 0);
 	g_strlcpy(raw->challenge.name, name, FS_NAME_MAX);
-	lnk_nonce(raw->challenge.nonce);
-	lnk_code(key, LNK_ACCEPTOR, &raw->hello, &raw->challenge,
-		 raw->challenge.code);
+	lnk_nonce_fill(raw->challenge.nonce);
+	lnk_mac(key, LNK_ACCEPTOR, &raw->hello, &raw->challenge,
+		raw->challenge.code);
 	lnk_challenge_write(&raw->challenge, payload);
 	send_payload(raw, payload);
 }
--- a/tests/prop_msg.cpp
+++ b/tests/prop_msg.cpp
@@ -232,10 +232,10 @@
 	uint8_t code[SIG_SIZE];
 
 	RC_ASSERT(sig_sign("key", data.data(), data.size(), code) == 0);
-	RC_ASSERT(sig_check("key", data.data(), data.size(), code));
-	RC_ASSERT(!sig_check("yek", data.data(), data.size(), code));
+	RC_ASSERT(sig_verify("key", data.data(), data.size(), code));
+	RC_ASSERT(!sig_verify("yek", data.data(), data.size(), code));
 	data[*rc::gen::inRange<size_t>(0, data.size())] ^= 1;
-	RC_ASSERT(!sig_check("key", data.data(), data.size(), code));
+	RC_ASSERT(!sig_verify("key", data.data(), data.size(), code));
 	RC_ASSERT(sig_sign("", data.data(), data.size(), code) != 0);
 }
 
--- a/tests/unit_plt.c
+++ b/tests/unit_plt.c
@@ -227,7 +227,7 @@
 
 	plt_get(b->plt, KEY, on_value, &other);
 	plt_watch(b->plt, KEY, 0, FS_US_PER_S, on_value, &other);
-	plt_forget(b->plt, &other);
+	plt_cancel(b->plt, &other);
 	plt_watch(b->plt, KEY, 0, 1500 * FS_US_PER_MS, on_value, b);
 	ev_run(b->loop, 0);
 	g_assert_cmpint(b->ended, ==, 1);
