--- a/src/dsp_judge.c
+++ b/src/dsp_judge.c
@@ -11,7 +11,7 @@
 	m->eject_request.service = g_strdup(dsp_shard_service(shard)->name);
 	m->eject_request.server = g_strdup(shard->servers[i]->name);
 	m->eject_request.rule = g_strdup(aud_rule_name(rule));
-	m->eject_request.give_back = action == HLT_ACT_REQUEST_REINSTATEMENT;
+	m->eject_request.reinstate = action == HLT_ACT_REQUEST_REINSTATEMENT;
 	bus_send(dsp->node->bus, m);
 }
 
--- a/src/ejc_service.c
+++ b/src/ejc_service.c
@@ -149,9 +149,9 @@
 	enum aud_rule trigger_rule = aud_rule_by_name(request->rule);
 	struct ejc_server *server = ejc_server_get(service, request->server);
 
-	if (request->give_back || trigger_rule != AUD_R_STEER_CONNECT) {
+	if (request->reinstate || trigger_rule != AUD_R_STEER_CONNECT) {
 		flr_sync_request(service->sync, request->server, trigger_rule,
-				 request->give_back, now_us);
+				 request->reinstate, now_us);
 		return;
 	}
 	server->trigger_rule = trigger_rule;
--- a/src/msg.c
+++ b/src/msg.c
@@ -94,11 +94,11 @@
 	g_clear_pointer(&handover->keys, g_array_unref);
 }
 
-static void eject_request_clear(struct msg_eject_request *ask)
+static void eject_request_clear(struct msg_eject_request *request)
 {
-	g_free(ask->service);
-	g_free(ask->server);
-	g_free(ask->rule);
+	g_free(request->service);
+	g_free(request->server);
+	g_free(request->rule);
 }
 
 void msg_free(struct msg *m)
--- a/src/msg_codec_in.c
+++ b/src/msg_codec_in.c
@@ -46,7 +46,7 @@
 	answer->server = msg_get_text(r);
 	answer->tries = msg_get_u32(r);
 	if (answer->length < -1)
-		r->bad = true;
+		r->malformed = true;
 }
 
 static void read_piece(struct msg_reader *r, struct msg *m)
@@ -57,7 +57,7 @@
 	m->piece.last = msg_get_bool(r);
 }
 
-/* A refusal names an error, and is never an answer. */
+/* Rejects a refusal without a known error code or with outcome FS_ANSWERED. */
 static void read_refusal(struct msg_reader *r, struct msg *m)
 {
 	struct msg_refusal *refusal = &m->refusal;
@@ -70,7 +70,7 @@
 	msg_get_load(r, &refusal->load);
 	refusal->tries = msg_get_u32(r);
 	if (err >= 0 || err < FS_E_AUDIT || refusal->outcome == FS_ANSWERED)
-		r->bad = true;
+		r->malformed = true;
 	else
 		refusal->err = (int)err;
 }
@@ -84,7 +84,7 @@
 	handover->region = msg_get_text(r);
 	handover->shard = msg_get_u32(r);
 	inner = msg_get_array(r, 3);
-	while (!inner.bad && inner.left) {
+	while (!inner.malformed && inner.left) {
 		struct msg_key key = {0};
 
 		key.key = msg_get_text(&inner);
@@ -125,7 +125,7 @@
 	struct msg_reader inner = msg_get_array(r, 1);
 
 	m->targets_leaving.servers = g_ptr_array_new_with_free_func(g_free);
-	while (!inner.bad && inner.left) {
+	while (!inner.malformed && inner.left) {
 		char *name = msg_get_text(&inner);
 
 		if (name)
@@ -134,13 +134,14 @@
 	msg_end_array(r, &inner);
 }
 
-/* A text that does not fit its field makes the message malformed. */
-static void read_into(struct msg_reader *r, char *out, size_t size)
+/* Reads a string into a fixed buffer; one that is too long makes the message
+ * malformed. */
+static void read_fixed_text(struct msg_reader *r, char *out, size_t size)
 {
 	g_autofree char *text = msg_get_text(r);
 
 	if (text && g_strlcpy(out, text, size) >= size)
-		r->bad = true;
+		r->malformed = true;
 }
 
 static void read_feed_entries(struct msg_reader *r, struct msg *m)
@@ -150,13 +151,13 @@
 	m->feed_entries.snapshot_rev = msg_get_u64(r, UINT64_MAX);
 	inner = msg_get_array(r, 9);
 
-	while (!inner.bad && inner.left) {
+	while (!inner.malformed && inner.left) {
 		struct dir_entry e = {0};
 
-		read_into(&inner, e.id, sizeof(e.id));
-		read_into(&inner, e.service, sizeof(e.service));
-		read_into(&inner, e.address, sizeof(e.address));
-		read_into(&inner, e.domain, sizeof(e.domain));
+		read_fixed_text(&inner, e.id, sizeof(e.id));
+		read_fixed_text(&inner, e.service, sizeof(e.service));
+		read_fixed_text(&inner, e.address, sizeof(e.address));
+		read_fixed_text(&inner, e.domain, sizeof(e.domain));
 		e.born = msg_get_u64(&inner, UINT64_MAX);
 		e.rev = msg_get_u64(&inner, UINT64_MAX);
 		e.slots = msg_get_u32(&inner);
@@ -166,10 +167,10 @@
 	}
 	msg_end_array(r, &inner);
 	inner = msg_get_array(r, 2);
-	while (!inner.bad && inner.left) {
+	while (!inner.malformed && inner.left) {
 		struct msg_removed removed = {0};
 
-		read_into(&inner, removed.id, sizeof(removed.id));
+		read_fixed_text(&inner, removed.id, sizeof(removed.id));
 		removed.rev = msg_get_u64(&inner, UINT64_MAX);
 		g_array_append_val(m->feed_entries.removed, removed);
 	}
