--- a/src/lod.c
+++ b/src/lod.c
@@ -186,8 +186,8 @@
 	return domain;
 }
 
-static bool is_stale_digest(const struct lod_domain *domain,
-			    const struct lod_packet *packet)
+static bool is_outdated_digest(const struct lod_domain *domain,
+			       const struct lod_packet *packet)
 {
 	return domain->hub == packet->sender &&
 	       (domain->incarnation > packet->incarnation ||
@@ -214,7 +214,7 @@
 {
 	struct lod_domain *domain = domain_of(lod, packet->domain);
 
-	if (is_stale_digest(domain, packet))
+	if (is_outdated_digest(domain, packet))
 		return;
 	if (packet->sender != lod->node->self)
 		notify_feed(lod, packet);
